--- a/src/adapters/http/client.rs
+++ b/src/adapters/http/client.rs
@@ -36,7 +36,7 @@
 
 /// A reply read to its end.
 #[derive(Debug)]
-pub(crate) struct HttpReply {
+pub(crate) struct HttpClientResponse {
     /// The status.
     pub(crate) status: StatusCode,
     /// The headers.
@@ -45,7 +45,7 @@
     pub(crate) body: Bytes,
 }
 
-impl HttpReply {
+impl HttpClientResponse {
     /// The body as text.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -84,7 +84,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Result<HttpReply, HttpClientError> {
+    ) -> Result<HttpClientResponse, HttpClientError> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{to}{path}"));
@@ -94,7 +94,7 @@
         let request = request.body(Full::new(Bytes::from(body)))?;
         let response = self.client.request(request).await?;
         let (parts, body) = response.into_parts();
-        Ok(HttpReply {
+        Ok(HttpClientResponse {
             status: parts.status,
             headers: parts.headers,
             body: body.collect().await?.to_bytes(),
--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        answer::{NEXT_TICKET_HEADER, Refusal, VERDICT_HEADER, job_response, request_response},
         entry_api::{Api, EntryApi},
         job_body::{JobBody, TaskBody},
         known_job::unless_known,
+        response::{NEXT_TICKET_HEADER, Refusal, VERDICT_HEADER, job_response, request_response},
     },
     crate::{
         core::{
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -1,7 +1,7 @@
 //! The entry's routes.
 
 use {
-    super::{answer::Refusal, client_api, health::with_health, operator_api},
+    super::{client_api, health::with_health, operator_api, response::Refusal},
     crate::{
         cli::RunError,
         core::verdict::NotRunReason,
--- a/src/adapters/http/http_server.rs
+++ b/src/adapters/http/http_server.rs
@@ -26,7 +26,7 @@
 
 /// A call, read to its end.
 #[derive(Debug)]
-pub(crate) struct HttpCall {
+pub(crate) struct HttpRequest {
     /// The method.
     pub(crate) method: Method,
     /// The path without its query.
@@ -40,7 +40,7 @@
     headers: HeaderMap,
 }
 
-impl HttpCall {
+impl HttpRequest {
     /// A header's text, if there is one that is text.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -49,13 +49,13 @@
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct HttpAnswer {
+pub(crate) struct HttpResponse {
     status: StatusCode,
     headers: Vec<(HeaderName, HeaderValue)>,
     body: Bytes,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// An answer without a body.
     pub(crate) const fn empty(status: StatusCode) -> Self {
         Self {
@@ -105,7 +105,7 @@
 #[async_trait]
 pub(crate) trait HttpHandler: Debug + Send + Sync {
     /// Answers one call. Dropped when the caller's connection is gone.
-    async fn answer(&self, call: HttpCall) -> HttpAnswer;
+    async fn handle(&self, call: HttpRequest) -> HttpResponse;
 
     /// The limits in force for connections that are opened now.
     fn limits(&self) -> HttpLimits {
@@ -206,7 +206,7 @@
     let host = named
         .and_then(|host| host.to_str().ok())
         .unwrap_or_default();
-    let call = HttpCall {
+    let call = HttpRequest {
         host: host.split(':').next().unwrap_or_default().to_owned(),
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
@@ -214,12 +214,12 @@
         headers: parts.headers,
         body,
     };
-    handler.answer(call).await.into_response()
+    handler.handle(call).await.into_response()
 }
 
 /// An answer after which the connection ends, since the rest of the call's body is not read.
 fn closing(status: StatusCode) -> Response<Full<Bytes>> {
-    HttpAnswer::empty(status)
+    HttpResponse::empty(status)
         .with_header(http::header::CONNECTION, "close")
         .into_response()
 }
--- a/src/adapters/http/known_job.rs
+++ b/src/adapters/http/known_job.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        answer::{Refusal, job_response},
         client_api::{IDEMPOTENCY_KEY_HEADER, TEAM_HEADER, TICKET_HEADER},
         entry_api::EntryApi,
+        response::{Refusal, job_response},
     },
     crate::{
         core::{ticket::Ticket, verdict::Verdict},
--- a/src/adapters/http/mod.rs
+++ b/src/adapters/http/mod.rs
@@ -1,7 +1,6 @@
 //! HTTP towards clients, operators and backend servers, by poem.
 
 mod agent_api;
-mod answer;
 mod client;
 mod client_api;
 mod config_body;
@@ -12,6 +11,7 @@
 mod known_job;
 mod long_body;
 mod operator_api;
+mod response;
 mod timed_socket;
 
 #[cfg(test)]
@@ -19,10 +19,10 @@
 
 pub(crate) use {
     agent_api::{AgentApi, BackendBody, serve_agent_api},
-    answer::{NEXT_TICKET_HEADER, REASON_HEADER, VERDICT_HEADER},
-    client::{HttpClient, HttpReply},
+    client::{HttpClient, HttpClientResponse},
     client_api::{IDEMPOTENCY_KEY_HEADER, TEAM_HEADER, TICKET_HEADER},
     entry_api::{EntryApi, serve_entry_api},
-    http_server::{HttpAnswer, HttpCall, HttpHandler, serve_http},
+    http_server::{HttpHandler, HttpRequest, HttpResponse, serve_http},
     long_body::read_long_body,
+    response::{NEXT_TICKET_HEADER, REASON_HEADER, VERDICT_HEADER},
 };
--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -8,7 +8,7 @@
     crate::{
         conf::OperatorSettings,
         core::config::{SECTIONS, ZoneState},
-        entry::{Accepted, ApplyError, Change, Edit},
+        entry::{AppliedChange, ApplyError, Change, Edit},
     },
     poem::{
         IntoResponse, Request, Response, handler,
@@ -146,7 +146,7 @@
     })
 }
 
-fn answer(result: Result<Accepted, ApplyError>) -> Response {
+fn answer(result: Result<AppliedChange, ApplyError>) -> Response {
     match result {
         Ok(accepted) => Json(json!({
             "version": accepted.head.version,
--- a/src/adapters/http/tests.rs
+++ b/src/adapters/http/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the answers against the page that promises them.
 
 use {
-    super::answer::status_of,
+    super::response::status_of,
     crate::core::verdict::{MayHaveRunReason, NotRunReason, Verdict},
     std::collections::BTreeMap,
 };
--- a/src/adapters/logging/decision_writer.rs
+++ b/src/adapters/logging/decision_writer.rs
@@ -2,7 +2,7 @@
 
 use {
     super::line_budget::LineBudget,
-    crate::ports::{DecisionLog, LineRank},
+    crate::ports::{DecisionLog, LogPriority},
     serde_json::{Map, Value, json},
     std::{
         io::{self, Write},
@@ -70,7 +70,7 @@
 }
 
 impl DecisionLog for DecisionWriter {
-    fn write(&self, rank: LineRank, fields: Value) {
+    fn write(&self, rank: LogPriority, fields: Value) {
         let now_ms = self.started_at.elapsed().as_millis() as u64;
         let event = event_name(&fields);
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/adapters/logging/line_budget.rs
+++ b/src/adapters/logging/line_budget.rs
@@ -1,6 +1,6 @@
 //! How many lines a process may write.
 
-use {crate::ports::LineRank, std::collections::BTreeMap};
+use {crate::ports::LogPriority, std::collections::BTreeMap};
 
 /// Bytes a second: at a peak of 100 jobs a second an entry writes some 40 KB of job lines.
 const BYTES_PER_S: u64 = 96 * 1_024;
@@ -33,7 +33,7 @@
 
 impl LineBudget {
     /// Takes a line's bytes out of the bucket, if they are there for its rank.
-    pub(super) fn take(&mut self, now_ms: u64, rank: LineRank, bytes: usize) -> bool {
+    pub(super) fn take(&mut self, now_ms: u64, rank: LogPriority, bytes: usize) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.filled_at_ms);
         let filled = elapsed_ms * BYTES_PER_S / 1_000;
         if filled > 0 {
@@ -41,8 +41,8 @@
             self.filled_at_ms = now_ms;
         }
         let kept = match rank {
-            LineRank::Routine => KEPT_FOR_NOTABLE,
-            LineRank::Notable => 0,
+            LogPriority::Routine => KEPT_FOR_NOTABLE,
+            LogPriority::Notable => 0,
         };
         let bytes = bytes as u64;
         if self.bytes < kept + bytes {
--- a/src/adapters/logging/tests.rs
+++ b/src/adapters/logging/tests.rs
@@ -1,22 +1,22 @@
 //! Tests of how many lines are written.
 
-use {super::line_budget::LineBudget, crate::ports::LineRank};
+use {super::line_budget::LineBudget, crate::ports::LogPriority};
 
 /// A process is flooded with jobs while one of them fails. On-call engineers look for the line of the
 /// failure and must find it, although most lines of that second were dropped.
 #[test]
 fn routine_lines_are_dropped_before_notable_ones() {
     let mut budget = LineBudget::default();
-    while budget.take(0, LineRank::Routine, 400) {}
-    assert!(budget.take(0, LineRank::Notable, 400));
+    while budget.take(0, LogPriority::Routine, 400) {}
+    assert!(budget.take(0, LogPriority::Notable, 400));
 }
 
 #[test]
 fn the_bucket_fills_again_with_time() {
     let mut budget = LineBudget::default();
-    while budget.take(0, LineRank::Notable, 400) {}
-    assert!(!budget.take(1, LineRank::Notable, 400));
-    assert!(budget.take(1_000, LineRank::Notable, 400));
+    while budget.take(0, LogPriority::Notable, 400) {}
+    assert!(!budget.take(1, LogPriority::Notable, 400));
+    assert!(budget.take(1_000, LogPriority::Notable, 400));
 }
 
 #[test]
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -78,7 +78,7 @@
     /// No new tasks from now on, and tickets of this home are no longer handed out. Jobs under
     /// those that are out are taken until the home has moved.
     pub(crate) fn leave(&self) {
-        self.tell_runner(RunnerEvent::Leave);
+        self.tell_runner(RunnerEvent::Shutdown);
         self.announce_now.notify_one();
     }
 
--- a/src/agent/hand_over.rs
+++ b/src/agent/hand_over.rs
@@ -71,7 +71,7 @@
 
     async fn hand_over(self: &Arc<Self>, home: AgentId, successors: &[SocketAddr], until: Instant) {
         if successors.is_empty() {
-            self.tell_home(HomeEvent::Leave);
+            self.tell_home(HomeEvent::Shutdown);
             log::warn!(home:? = home; "no successor: its jobs end here");
             return;
         }
@@ -100,7 +100,7 @@
         log::warn!(home:? = home; "no successor took over: its jobs end here");
         let (inputs, _) = self.starter.start_adopted(*records);
         // The loop ends only with the process.
-        let _ = inputs.send(HomeInput::Event(HomeEvent::Leave));
+        let _ = inputs.send(HomeInput::Event(HomeEvent::Shutdown));
         self.homes.set_here(home, inputs);
     }
 
--- a/src/cli/commands/answer_check.rs
+++ b/src/cli/commands/answer_check.rs
@@ -40,7 +40,7 @@
         outcomes: tasks.iter().map(outcome).collect::<Option<_>>()?,
         digest: *digest.as_bytes(),
     };
-    Some(sealed.is_whole(&ticket.id, count))
+    Some(sealed.is_complete(&ticket.id, count))
 }
 
 fn outcome(task: &Value) -> Option<TaskOutcome> {
--- a/src/cli/commands/jobs.rs
+++ b/src/cli/commands/jobs.rs
@@ -3,7 +3,7 @@
 use {
     super::answer_check::check_answer,
     crate::{
-        adapters::http::{HttpReply, IDEMPOTENCY_KEY_HEADER, TICKET_HEADER},
+        adapters::http::{HttpClientResponse, IDEMPOTENCY_KEY_HEADER, TICKET_HEADER},
         cli::{RunError, operator_client::OperatorClient},
     },
     http::Method,
@@ -67,7 +67,7 @@
     print_answer(&reply, as_json)
 }
 
-fn print_answer(reply: &HttpReply, as_json: bool) -> Result<(), RunError> {
+fn print_answer(reply: &HttpClientResponse, as_json: bool) -> Result<(), RunError> {
     let answer: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
     let is_checked = check_answer(&answer)?;
     if as_json {
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{RunError, commands::describe_conflicts},
-    crate::adapters::http::{HttpClient, HttpReply},
+    crate::adapters::http::{HttpClient, HttpClientResponse},
     http::{Method, StatusCode},
     serde_json::Value,
     std::net::SocketAddr,
@@ -46,7 +46,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Result<HttpReply, RunError> {
+    ) -> Result<HttpClientResponse, RunError> {
         let mut headers = headers.to_vec();
         headers.push(("content-type", "application/json"));
         if let Some(authorization) = &self.authorization {
@@ -82,7 +82,7 @@
     }
 }
 
-fn describe_refusal(reply: &HttpReply, value: &Value) -> String {
+fn describe_refusal(reply: &HttpClientResponse, value: &Value) -> String {
     let error = value["error"].as_str().unwrap_or_default();
     let mut lines = vec![format!("refused ({}): {error}", reply.status)];
     for fault in value["detail"].as_array().into_iter().flatten() {
--- a/src/cli/signals.rs
+++ b/src/cli/signals.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        ports::{DecisionLog, LineRank, note},
-        site_entry::ProcessNote,
+        ports::{DecisionLog, LogPriority, log_decision},
+        site_entry::ProcessLogEvent,
     },
     std::sync::Arc,
     tokio::signal::unix::{SignalKind, signal},
@@ -33,10 +33,10 @@
     };
     while reloads.recv().await.is_some() {
         let outcome = "addresses_kept";
-        note(
+        log_decision(
             &*decisions,
-            LineRank::Notable,
-            &ProcessNote::Reloaded { outcome },
+            LogPriority::Notable,
+            &ProcessLogEvent::Reloaded { outcome },
         );
     }
 }
--- a/src/core/admission/admission.rs
+++ b/src/core/admission/admission.rs
@@ -24,7 +24,7 @@
 
 /// A job as admission sees it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Offer {
+pub(crate) struct AdmissionRequest {
     /// Tasks that wait already.
     pub(crate) waiting: usize,
     /// For how long the oldest of them has waited.
@@ -61,12 +61,12 @@
     }
 
     /// Notes what was started since the last note, and whether tasks wait now.
-    pub(crate) fn note(&mut self, now: Instant, starts: usize, waiting: bool) {
-        self.drain.note(now, starts, waiting);
+    pub(crate) fn record_starts(&mut self, now: Instant, starts: usize, waiting: bool) {
+        self.drain.record_starts(now, starts, waiting);
     }
 
     /// Decides on a job.
-    pub(crate) fn judge(&mut self, offer: Offer) -> Result<(), Overload> {
+    pub(crate) fn decide(&mut self, offer: AdmissionRequest) -> Result<(), Overload> {
         if offer.waiting == 0 {
             return Ok(());
         }
--- a/src/core/admission/drain_rate.rs
+++ b/src/core/admission/drain_rate.rs
@@ -28,7 +28,7 @@
 
 impl DrainRate {
     /// Notes whether tasks wait from now on, and how many were started since the last note.
-    pub(crate) fn note(&mut self, now: Instant, starts: usize, waiting: bool) {
+    pub(crate) fn record_starts(&mut self, now: Instant, starts: usize, waiting: bool) {
         if let Some(since) = self.queued_since {
             let passed_us = now.micros_since(since) as f64;
             let faded = (-passed_us / MEMORY_US).exp();
--- a/src/core/admission/mod.rs
+++ b/src/core/admission/mod.rs
@@ -8,7 +8,7 @@
 mod tests;
 
 pub(crate) use {
-    admission::{Admission, Offer, Overload},
+    admission::{Admission, AdmissionRequest, Overload},
     drain_rate::DrainRate,
     fits::fits_somewhere,
 };
--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the admission decision, and of the drain rate against a naive version.
 
 use {
-    super::{Admission, DrainRate, Offer, Overload},
+    super::{Admission, AdmissionRequest, DrainRate, Overload},
     crate::core::time::Instant,
     proptest::prelude::{any, prop_assert, proptest},
 };
@@ -10,13 +10,13 @@
 fn at_100_a_second() -> Admission {
     let mut admission = Admission::new(3);
     for step in 0..200 {
-        admission.note(Instant::from_millis(step * 10), 1, true);
+        admission.record_starts(Instant::from_millis(step * 10), 1, true);
     }
     admission
 }
 
-const fn offer(waiting: usize, tasks: usize, deadline_ms: u64) -> Offer {
-    Offer {
+const fn offer(waiting: usize, tasks: usize, deadline_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         waiting,
         oldest_wait_ms: 0,
         tasks,
@@ -30,7 +30,7 @@
         $(
             #[test]
             fn $name() {
-                let verdict = at_100_a_second().judge(offer($waiting, $tasks, $deadline_ms));
+                let verdict = at_100_a_second().decide(offer($waiting, $tasks, $deadline_ms));
                 assert_eq!(verdict.is_ok(), $admitted, "{verdict:?}");
             }
         )+
@@ -51,7 +51,7 @@
 fn refused_clients_come_back_after_the_excess_has_drained_and_not_together() {
     let mut admission = at_100_a_second();
     let mut times: Vec<u64> = (0..50)
-        .filter_map(|_| admission.judge(offer(1_000, 1, 2_000)).err())
+        .filter_map(|_| admission.decide(offer(1_000, 1, 2_000)).err())
         .map(|Overload { retry_after_ms }| retry_after_ms)
         .collect();
     assert_eq!(times.len(), 50);
@@ -70,24 +70,24 @@
 fn long_tasks_that_fill_all_slots_are_no_overload_yet() {
     let mut admission = Admission::new(3);
     for step in 0..200 {
-        admission.note(Instant::from_millis(step * 10), 0, true);
+        admission.record_starts(Instant::from_millis(step * 10), 0, true);
     }
-    assert!(admission.judge(offer(100, 1, 5_000)).is_ok());
+    assert!(admission.decide(offer(100, 1, 5_000)).is_ok());
 }
 
 /// The rate was learnt before a zone left; what waits has waited too long already.
 #[test]
 fn a_long_wait_counts_whatever_the_rate_says() {
-    let waited = Offer {
+    let waited = AdmissionRequest {
         oldest_wait_ms: 1_200,
         ..offer(10, 1, 2_000)
     };
-    assert!(at_100_a_second().judge(waited).is_err());
+    assert!(at_100_a_second().decide(waited).is_err());
 }
 
 #[test]
 fn nothing_is_refused_before_the_rate_is_learnt() {
-    assert!(Admission::new(1).judge(offer(1_000, 1, 300)).is_ok());
+    assert!(Admission::new(1).decide(offer(1_000, 1, 300)).is_ok());
 }
 
 proptest! {
@@ -108,7 +108,7 @@
         let mut waiting_before = false;
         for (passed_ms, starts, waiting) in steps {
             now = now.plus_ms(passed_ms);
-            rate.note(now, starts, waiting);
+            rate.record_starts(now, starts, waiting);
             if waiting_before {
                 history.push((passed_ms as f64 * 1_000.0, starts as f64));
             }
--- a/src/core/directory/digest_log.rs
+++ b/src/core/directory/digest_log.rs
@@ -3,7 +3,7 @@
 use {
     super::Directory,
     crate::core::{
-        message::{AgentBeat, AgentReport, Announcement},
+        message::{AgentHeartbeat, AgentReport, Announcement},
         ticket::AgentId,
         time::Instant,
     },
@@ -21,9 +21,9 @@
 
 /// The part of a digest that is about agents.
 #[derive(Debug, Default)]
-pub(crate) struct Telling {
+pub(crate) struct AgentDigest {
     pub(crate) reports: Vec<AgentReport>,
-    pub(crate) beats: Vec<AgentBeat>,
+    pub(crate) beats: Vec<AgentHeartbeat>,
     /// The statements that the receiver has once it confirms.
     statements: Vec<(AgentId, u64)>,
     /// Up to when agents were looked at.
@@ -43,20 +43,25 @@
 
 impl DigestLog {
     /// What to tell an entry now.
-    pub(crate) fn tell(&mut self, now: Instant, peer: AgentId, directory: &Directory) -> Telling {
+    pub(crate) fn build_digest(
+        &mut self,
+        now: Instant,
+        peer: AgentId,
+        directory: &Directory,
+    ) -> AgentDigest {
         let log = self.peers.entry(peer).or_default();
-        let mut telling = Telling {
+        let mut telling = AgentDigest {
             through: now,
-            ..Telling::default()
+            ..AgentDigest::default()
         };
-        for view in directory.heard_here(now, log.told_through) {
+        for view in directory.announced_here(now, log.told_through) {
             let agent = view.announcement.agent;
             let index = *self.indices.entry(agent).or_insert_with(|| {
                 self.next_index = self.next_index.wrapping_add(1);
                 self.next_index
             });
             if log.statements.get(&agent) == Some(&view.statement) {
-                telling.beats.push(AgentBeat {
+                telling.beats.push(AgentHeartbeat {
                     index,
                     free_slots: view.announcement.free_slots,
                     fingerprint: view.fingerprint,
@@ -76,7 +81,7 @@
     }
 
     /// The entry has what it was told, but for agents whose numbers it doesn't know.
-    pub(crate) fn confirm(&mut self, peer: AgentId, telling: &Telling, unknown: &[u32]) {
+    pub(crate) fn confirm(&mut self, peer: AgentId, telling: &AgentDigest, unknown: &[u32]) {
         let log = self.peers.entry(peer).or_default();
         log.told_through = log.told_through.max(Some(telling.through));
         log.statements.extend(telling.statements.iter().copied());
@@ -93,7 +98,7 @@
 
     /// Drops what is about agents that are no longer listed and entries that are gone.
     pub(crate) fn expire(&mut self, directory: &Directory, is_member: impl Fn(AgentId) -> bool) {
-        let is_listed = |agent: &AgentId| directory.lists(*agent);
+        let is_listed = |agent: &AgentId| directory.contains(*agent);
         self.indices.retain(|agent, _| is_listed(agent));
         self.peers.retain(|peer, _| is_member(*peer));
         for log in self.peers.values_mut() {
--- a/src/core/directory/directory.rs
+++ b/src/core/directory/directory.rs
@@ -3,7 +3,7 @@
 use {
     crate::core::{
         config::{Document, Service},
-        message::{AgentBeat, AgentReport, Announcement, Candidate},
+        message::{AgentHeartbeat, AgentReport, Announcement, Candidate},
         ticket::AgentId,
         time::Instant,
     },
@@ -69,12 +69,12 @@
 
 impl Directory {
     /// Takes an agent's own announcement in; true if it says something new.
-    pub(crate) fn announce(&mut self, now: Instant, announcement: Announcement) -> bool {
+    pub(crate) fn record_announcement(&mut self, now: Instant, announcement: Announcement) -> bool {
         self.take(now, announcement, true)
     }
 
     /// Takes in what another entry heard.
-    pub(crate) fn report(&mut self, now: Instant, from: AgentId, report: AgentReport) {
+    pub(crate) fn record_report(&mut self, now: Instant, from: AgentId, report: AgentReport) {
         let agent = report.announcement.agent;
         self.reported.insert((from, report.index), agent);
         self.take(now, report.announcement, false);
@@ -82,7 +82,12 @@
 
     /// Takes in that another entry heard an agent; false if a report is needed, as it isn't known
     /// which one that is, or as it said something else here.
-    pub(crate) fn beat(&mut self, now: Instant, from: AgentId, beat: AgentBeat) -> bool {
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        now: Instant,
+        from: AgentId,
+        beat: AgentHeartbeat,
+    ) -> bool {
         let Some(agent) = self.reported.get(&(from, beat.index)) else {
             return false;
         };
@@ -216,7 +221,7 @@
     }
 
     /// Agents that announced themselves here after `since`, or never lately if it is `None`.
-    pub(crate) fn heard_here(
+    pub(crate) fn announced_here(
         &self,
         now: Instant,
         since: Option<Instant>,
@@ -228,7 +233,7 @@
     }
 
     /// Whether an agent is still listed.
-    pub(crate) fn lists(&self, agent: AgentId) -> bool {
+    pub(crate) fn contains(&self, agent: AgentId) -> bool {
         self.agents.contains_key(&agent)
     }
 
--- a/src/core/directory/mod.rs
+++ b/src/core/directory/mod.rs
@@ -7,6 +7,6 @@
 mod tests;
 
 pub(crate) use {
-    digest_log::{DigestLog, Telling},
+    digest_log::{AgentDigest, DigestLog},
     directory::{Directory, HomeLocation},
 };
--- a/src/core/directory/tests.rs
+++ b/src/core/directory/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the directory.
 
 use {
-    super::{DigestLog, Directory, HomeLocation, Telling},
+    super::{AgentDigest, DigestLog, Directory, HomeLocation},
     crate::core::{
         message::{AgentReport, Announcement},
         ticket::AgentId,
@@ -33,9 +33,9 @@
 #[test]
 fn a_replaced_agent_stays_replaced_when_its_last_announcement_is_late() {
     let mut directory = Directory::default();
-    directory.announce(Instant::from_millis(0), announcement(1, "w01"));
-    directory.announce(Instant::from_millis(10), announcement(2, "w01"));
-    directory.announce(Instant::from_millis(20), announcement(1, "w01"));
+    directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
+    directory.record_announcement(Instant::from_millis(10), announcement(2, "w01"));
+    directory.record_announcement(Instant::from_millis(20), announcement(1, "w01"));
     assert_eq!(directory.locate(AgentId(1)), HomeLocation::Replaced);
     assert_eq!(
         directory.locate(AgentId(2)),
@@ -48,7 +48,7 @@
 #[test]
 fn a_silent_agent_gets_no_new_work() {
     let mut directory = Directory::default();
-    directory.announce(Instant::from_millis(0), announcement(1, "w01"));
+    directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
     assert!(directory.takes_work(Instant::from_millis(2_999), AgentId(1)));
     assert!(!directory.takes_work(Instant::from_millis(3_000), AgentId(1)));
 }
@@ -57,16 +57,16 @@
 const THERE: AgentId = AgentId(200);
 
 /// Tells another entry's directory what this one heard, and takes its answer in.
-fn exchange(at_ms: u64, log: &mut DigestLog, from: &Directory, to: &mut Directory) -> Telling {
+fn exchange(at_ms: u64, log: &mut DigestLog, from: &Directory, to: &mut Directory) -> AgentDigest {
     let now = Instant::from_millis(at_ms);
-    let telling = log.tell(now, THERE, from);
+    let telling = log.build_digest(now, THERE, from);
     for report in &telling.reports {
-        to.report(now, HERE, report.clone());
+        to.record_report(now, HERE, report.clone());
     }
     let unknown: Vec<u32> = telling
         .beats
         .iter()
-        .filter(|beat| !to.beat(now, HERE, **beat))
+        .filter(|beat| !to.record_heartbeat(now, HERE, **beat))
         .map(|beat| beat.index)
         .collect();
     log.confirm(THERE, &telling, &unknown);
@@ -77,21 +77,21 @@
 fn an_agent_is_reported_in_full_once_and_then_by_beats() {
     let (mut here, mut there) = (Directory::default(), Directory::default());
     let mut log = DigestLog::default();
-    here.announce(Instant::from_millis(0), announcement(1, "w01"));
+    here.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
     let first = exchange(10, &mut log, &here, &mut there);
     assert_eq!((first.reports.len(), first.beats.len()), (1, 0));
     let nothing = exchange(500, &mut log, &here, &mut there);
     assert_eq!((nothing.reports.len(), nothing.beats.len()), (0, 0));
-    here.announce(Instant::from_millis(1_000), announcement(1, "w01"));
+    here.record_announcement(Instant::from_millis(1_000), announcement(1, "w01"));
     let beat = exchange(1_010, &mut log, &here, &mut there);
     assert_eq!((beat.reports.len(), beat.beats.len()), (0, 1));
     assert!(there.takes_work(Instant::from_millis(4_000), AgentId(1)));
 
     // The other entry restarts and knows nothing: it asks for the report anew.
     let mut restarted = Directory::default();
-    here.announce(Instant::from_millis(2_000), announcement(1, "w01"));
+    here.record_announcement(Instant::from_millis(2_000), announcement(1, "w01"));
     exchange(2_010, &mut log, &here, &mut restarted);
-    here.announce(Instant::from_millis(3_000), announcement(1, "w01"));
+    here.record_announcement(Instant::from_millis(3_000), announcement(1, "w01"));
     exchange(3_010, &mut log, &here, &mut restarted);
     assert!(restarted.takes_work(Instant::from_millis(3_020), AgentId(1)));
 }
@@ -106,12 +106,12 @@
         leaving: true,
         ..announcement(1, "w01")
     };
-    directory.announce(Instant::from_millis(0), leaving);
+    directory.record_announcement(Instant::from_millis(0), leaving);
     let report = AgentReport {
         index: 1,
         announcement: announcement(1, "w01"),
     };
-    directory.report(Instant::from_millis(10), THERE, report);
+    directory.record_report(Instant::from_millis(10), THERE, report);
     assert!(!directory.takes_work(Instant::from_millis(20), AgentId(1)));
 }
 
@@ -120,12 +120,12 @@
 #[test]
 fn a_dead_agents_last_words_passed_on_don_t_replace_its_successor() {
     let mut directory = Directory::default();
-    directory.announce(Instant::from_millis(0), announcement(2, "w01"));
+    directory.record_announcement(Instant::from_millis(0), announcement(2, "w01"));
     let report = AgentReport {
         index: 1,
         announcement: announcement(1, "w01"),
     };
-    directory.report(Instant::from_millis(10), THERE, report);
+    directory.record_report(Instant::from_millis(10), THERE, report);
     assert!(directory.takes_work(Instant::from_millis(20), AgentId(2)));
     assert_eq!(directory.locate(AgentId(1)), HomeLocation::Unknown);
 }
@@ -135,10 +135,10 @@
 #[test]
 fn an_agent_that_a_call_failed_to_gets_no_new_work_until_it_is_heard_again() {
     let mut directory = Directory::default();
-    directory.announce(Instant::from_millis(0), announcement(1, "w01"));
+    directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
     directory.call_failed(Instant::from_millis(100), AgentId(1));
     assert!(!directory.takes_work(Instant::from_millis(200), AgentId(1)));
-    directory.announce(Instant::from_millis(1_000), announcement(1, "w01"));
+    directory.record_announcement(Instant::from_millis(1_000), announcement(1, "w01"));
     assert!(directory.takes_work(Instant::from_millis(1_100), AgentId(1)));
     directory.call_failed(Instant::from_millis(1_200), AgentId(1));
     directory.call_answered(AgentId(1));
--- a/src/core/dispatch/contact.rs
+++ b/src/core/dispatch/contact.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Answer, DispatchAction, DispatchNote, Dispatcher, GiveUpReason, LinkId,
+        DispatchAction, DispatchLogEvent, Dispatcher, GiveUpReason, JobOutcome, LinkId,
         intake::final_answer, job::JobKey,
     },
     crate::core::time::Instant,
@@ -48,7 +48,7 @@
             return;
         }
         let open = self.open_jobs();
-        self.note(DispatchNote::Woke { after_ms, open });
+        self.log_event(DispatchLogEvent::Woke { after_ms, open });
         self.contact.settled_at = now.plus_ms(SETTLE_MS);
         let links: Vec<LinkId> = self.by_link.keys().copied().collect();
         for link in links {
@@ -71,7 +71,7 @@
         if !is_isolated(heard_at) {
             return;
         }
-        let isolated: Vec<(JobKey, String, Answer)> = self
+        let isolated: Vec<(JobKey, String, JobOutcome)> = self
             .jobs
             .iter()
             .filter(|(_, job)| !job.closed && is_isolated(job.received_at))
@@ -82,7 +82,7 @@
             .collect();
         let heard_ms_ago = now.millis_since(heard_at);
         for (key, job, answer) in isolated {
-            self.note(DispatchNote::JobIsolated { job, heard_ms_ago });
+            self.log_event(DispatchLogEvent::JobIsolated { job, heard_ms_ago });
             self.answer(now, key, answer);
         }
     }
--- a/src/core/dispatch/dispatch_event.rs
+++ b/src/core/dispatch/dispatch_event.rs
@@ -1,10 +1,10 @@
 //! What goes into the dispatcher and what comes out.
 
 use {
-    super::DispatchNote,
+    super::DispatchLogEvent,
     crate::core::{
         document::Document,
-        link::{AgentFrame, EntryFrame, News},
+        link::{AgentFrame, EntryFrame, EvacuatedZones},
         routes::Route,
         verdict::reasons,
         work::{JobId, JobRequest},
@@ -71,7 +71,7 @@
 
 /// The final answer to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Answer {
+pub(crate) enum JobOutcome {
     /// All tasks are done.
     Completed,
     /// A task has failed too often.
@@ -110,11 +110,11 @@
         link: LinkId,
     },
     /// Newer news, and the zones that it takes out.
-    News(News),
+    EvacuatedZones(EvacuatedZones),
     /// A newer document, to be given to agents.
     Document(Document),
     /// The process is to end.
-    Leave,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
@@ -135,16 +135,16 @@
         link: LinkId,
     },
     /// Answer a client.
-    Answer {
+    Reply {
         /// Who waits.
         waiter: WaiterId,
         /// The answer.
-        answer: Answer,
+        answer: JobOutcome,
     },
     /// An agent knows newer news than this entry.
-    TakeNews(News),
+    ApplyEvacuatedZones(EvacuatedZones),
     /// A newer document was fetched from an agent.
     TakeDocument(Document),
     /// Write a line of the log.
-    Note(DispatchNote),
+    Log(DispatchLogEvent),
 }
--- a/src/core/dispatch/dispatch_note.rs
+++ b/src/core/dispatch/dispatch_log_event.rs
@@ -5,7 +5,7 @@
 /// One decision with what it was based on.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub(crate) enum DispatchNote {
+pub(crate) enum DispatchLogEvent {
     /// A job was taken in.
     JobTaken {
         /// The job.
--- a/src/core/dispatch/dispatcher.rs
+++ b/src/core/dispatch/dispatcher.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Answer, DispatchAction, DispatchEvent, DispatchNote, LinkId, RefusalReason, Submission,
-        WaiterId,
+        DispatchAction, DispatchEvent, DispatchLogEvent, JobOutcome, LinkId, RefusalReason,
+        Submission, WaiterId,
         arrival_rate::ArrivalRate,
         contact::Contact,
         job::{Job, JobKey},
@@ -14,7 +14,7 @@
     },
     crate::core::{
         document::DocumentCopy,
-        link::{EntryFrame, News},
+        link::{EntryFrame, EvacuatedZones},
         time::Instant,
         work::{JobId, RunLimits},
     },
@@ -46,7 +46,7 @@
     pub(super) workers: SlotMap<WorkerKey, WorkerLink>,
     pub(super) by_agent: BTreeMap<String, WorkerKey>,
     pub(super) by_link: BTreeMap<LinkId, WorkerKey>,
-    pub(super) news: Option<News>,
+    pub(super) news: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<LinkId>,
     /// An agent holds a newer document than this entry since then.
     pub(super) behind_since: Option<Instant>,
@@ -140,9 +140,9 @@
             DispatchEvent::ClientGone { waiter } => self.on_client_gone(now, waiter),
             DispatchEvent::Frame { link, frame } => self.on_frame(now, link, frame),
             DispatchEvent::LinkLost { link } => self.lose_link(now, link, "closed"),
-            DispatchEvent::News(news) => self.on_news(news),
+            DispatchEvent::EvacuatedZones(news) => self.on_news(news),
             DispatchEvent::Document(document) => self.hold_document(document),
-            DispatchEvent::Leave => self.leaving_since = Some(now),
+            DispatchEvent::Shutdown => self.leaving_since = Some(now),
             DispatchEvent::Tick => self.on_tick(now),
         }
     }
@@ -155,14 +155,14 @@
     }
 
     /// Gives the final answer to everybody who waits for a job.
-    pub(super) fn answer(&mut self, now: Instant, key: JobKey, answer: Answer) {
+    pub(super) fn answer(&mut self, now: Instant, key: JobKey, answer: JobOutcome) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         let waiters = mem::take(&mut job.waiters);
         job.closed = true;
         let (name, reason) = answer.name_and_reason();
-        let note = DispatchNote::JobAnswered {
+        let note = DispatchLogEvent::JobAnswered {
             job: job.id.to_string(),
             route: job.route.name.clone(),
             answer: name,
@@ -174,21 +174,21 @@
             failed_runs: job.failed_runs(),
             left: job.left,
         };
-        self.note(note);
+        self.log_event(note);
         for waiter in waiters {
             self.by_waiter.remove(&waiter);
-            self.actions.push(DispatchAction::Answer { waiter, answer });
+            self.actions.push(DispatchAction::Reply { waiter, answer });
         }
         self.close_job(key);
     }
 
     /// Answers a call whose job was not taken in.
     pub(super) fn refuse(&mut self, waiter: WaiterId, reason: RefusalReason, retry_after_ms: u64) {
-        let answer = Answer::NotRun {
+        let answer = JobOutcome::NotRun {
             reason,
             retry_after_ms,
         };
-        self.actions.push(DispatchAction::Answer { waiter, answer });
+        self.actions.push(DispatchAction::Reply { waiter, answer });
     }
 
     /// Stops what is left of an answered job, and forgets it once nothing of it runs.
@@ -232,12 +232,12 @@
         self.pace.time_for_ms(job.waiting_work_ms())
     }
 
-    pub(super) fn note(&mut self, note: DispatchNote) {
-        self.actions.push(DispatchAction::Note(note));
+    pub(super) fn log_event(&mut self, note: DispatchLogEvent) {
+        self.actions.push(DispatchAction::Log(note));
     }
 }
 
-impl Answer {
+impl JobOutcome {
     /// The answer's name and its reason, for logs and counters.
     pub(crate) const fn name_and_reason(self) -> (&'static str, &'static str) {
         match self {
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -1,7 +1,7 @@
 //! The operators' document, for agents and from agents.
 
 use {
-    super::{DispatchAction, DispatchNote, Dispatcher, LinkId, worker_link::WorkerKey},
+    super::{DispatchAction, DispatchLogEvent, Dispatcher, LinkId, worker_link::WorkerKey},
     crate::core::{
         document::{Document, DocumentPart, FetchStep},
         link::EntryFrame,
@@ -57,7 +57,7 @@
             }
             FetchStep::Complete(fetched) => {
                 self.behind_since = None;
-                self.note(DispatchNote::DocumentFetched {
+                self.log_event(DispatchLogEvent::DocumentFetched {
                     agent: self.agent_of(link),
                     revision: fetched.document.revision,
                     bytes: fetched.document.text.len(),
--- a/src/core/dispatch/ends.rs
+++ b/src/core/dispatch/ends.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        Answer, DispatchNote, Dispatcher,
+        DispatchLogEvent, Dispatcher, JobOutcome,
         job::{Job, JobKey, TaskState},
         worker_link::{OpenRun, WorkerKey},
     },
     crate::core::{
-        ejection::TaskEnd,
-        link::{NotStartedReason, RunEnd},
+        ejection::HealthSample,
+        link::{NotStartedReason, RunOutcome},
         time::Instant,
         work::RunId,
     },
@@ -32,7 +32,7 @@
         now: Instant,
         worker: WorkerKey,
         run: RunId,
-        end: RunEnd,
+        end: RunOutcome,
         ran_ms: u64,
     ) {
         let Some(link) = self.workers.get_mut(worker) else {
@@ -42,8 +42,8 @@
             return;
         };
         let wanted = !open.stopping;
-        if end != RunEnd::Done && wanted {
-            let note = DispatchNote::RunLost {
+        if end != RunOutcome::Done && wanted {
+            let note = DispatchLogEvent::RunLost {
                 job: run.task.job.to_string(),
                 run: run.to_string(),
                 agent: link.agent.clone(),
@@ -51,42 +51,49 @@
                 after_ms: now.millis_since(open.ordered_at),
                 heard_ms_ago: now.millis_since(link.heard_at),
             };
-            self.note(note);
+            self.log_event(note);
         }
         self.learn(now, worker, &open, end, ran_ms);
         self.settle(now, worker, open, end);
     }
 
     /// Learns from an end what it says about the worker.
-    fn learn(&mut self, now: Instant, worker: WorkerKey, open: &OpenRun, end: RunEnd, ran_ms: u64) {
+    fn learn(
+        &mut self,
+        now: Instant,
+        worker: WorkerKey,
+        open: &OpenRun,
+        end: RunOutcome,
+        ran_ms: u64,
+    ) {
         let Some(link) = self.workers.get_mut(worker) else {
             return;
         };
-        if end == RunEnd::Done {
+        if end == RunOutcome::Done {
             link.note_run(ran_ms, open.estimate_ms);
         }
         match end {
-            RunEnd::NotStarted(NotStartedReason::NoRoom) => link.note_no_room(),
-            RunEnd::NotStarted(NotStartedReason::TaskBusy) => {}
-            RunEnd::NotStarted(_) => link.paused_until = now.plus_ms(REJECTED_PAUSE_MS),
-            RunEnd::Done | RunEnd::Failed | RunEnd::Stopped | RunEnd::Lost => {}
+            RunOutcome::NotStarted(NotStartedReason::NoRoom) => link.note_no_room(),
+            RunOutcome::NotStarted(NotStartedReason::TaskBusy) => {}
+            RunOutcome::NotStarted(_) => link.paused_until = now.plus_ms(REJECTED_PAUSE_MS),
+            RunOutcome::Done | RunOutcome::Failed | RunOutcome::Stopped | RunOutcome::Lost => {}
         }
         let Some(seen) = task_end(open, end, ran_ms) else {
             return;
         };
-        if seen == TaskEnd::Good || self.most_others_are_sound(worker) {
+        if seen == HealthSample::Good || self.most_others_are_sound(worker) {
             self.note_health(now, worker, seen);
         }
     }
 
-    fn note_health(&mut self, now: Instant, worker: WorkerKey, seen: TaskEnd) {
+    fn note_health(&mut self, now: Instant, worker: WorkerKey, seen: HealthSample) {
         let Some(link) = self.workers.get_mut(worker) else {
             return;
         };
-        if let Some(reason) = link.health.note(now, seen) {
+        if let Some(reason) = link.health.record(now, seen) {
             let agent = link.agent.clone();
             let reason = reason.as_str();
-            self.note(DispatchNote::WorkerEjected { agent, reason });
+            self.log_event(DispatchLogEvent::WorkerEjected { agent, reason });
         }
     }
 
@@ -95,17 +102,17 @@
     fn most_others_are_sound(&self, worker: WorkerKey) -> bool {
         let others = self.workers.iter().filter(|(key, _)| *key != worker);
         let (others, sound) = others.fold((0, 0), |(others, sound), (_, other)| {
-            (others + 1, sound + usize::from(other.health.is_sound()))
+            (others + 1, sound + usize::from(other.health.is_healthy()))
         });
         sound * 2 > others
     }
 
-    fn settle(&mut self, now: Instant, worker: WorkerKey, open: OpenRun, end: RunEnd) {
+    fn settle(&mut self, now: Instant, worker: WorkerKey, open: OpenRun, end: RunOutcome) {
         let Some(job) = self.jobs.get_mut(open.job) else {
             return;
         };
         job.open_runs -= 1;
-        if !matches!(end, RunEnd::NotStarted(_)) {
+        if !matches!(end, RunOutcome::NotStarted(_)) {
             job.may_have_run = true;
         }
         if job.closed {
@@ -117,25 +124,27 @@
             return;
         };
         match end {
-            RunEnd::Done => {
+            RunOutcome::Done => {
                 task.state = TaskState::Done;
                 job.left -= 1;
                 self.on_task_done(now, open.job);
                 return;
             }
-            RunEnd::Failed => {
+            RunOutcome::Failed => {
                 task.failed_runs += 1;
                 task.avoid = Some(worker);
             }
-            RunEnd::NotStarted(NotStartedReason::TaskBusy) => {
+            RunOutcome::NotStarted(NotStartedReason::TaskBusy) => {
                 task.not_before = now.plus_ms(BUSY_PAUSE_MS);
             }
-            RunEnd::NotStarted(NotStartedReason::NoRoom) => {}
-            RunEnd::NotStarted(_) | RunEnd::Stopped | RunEnd::Lost => task.avoid = Some(worker),
+            RunOutcome::NotStarted(NotStartedReason::NoRoom) => {}
+            RunOutcome::NotStarted(_) | RunOutcome::Stopped | RunOutcome::Lost => {
+                task.avoid = Some(worker)
+            }
         }
         task.state = TaskState::Waiting;
         if task.failed_runs >= max_attempts {
-            self.answer(now, open.job, Answer::Failed);
+            self.answer(now, open.job, JobOutcome::Failed);
             return;
         }
         self.enqueue(now, open.job, open.task);
@@ -146,7 +155,7 @@
             return;
         };
         if job.left == 0 {
-            self.answer(now, key, Answer::Completed);
+            self.answer(now, key, JobOutcome::Completed);
             return;
         }
         for task in Job::unblock(job) {
@@ -156,13 +165,15 @@
 }
 
 /// What a run's end says about its worker, if it says anything.
-fn task_end(open: &OpenRun, end: RunEnd, ran_ms: u64) -> Option<TaskEnd> {
+fn task_end(open: &OpenRun, end: RunOutcome, ran_ms: u64) -> Option<HealthSample> {
     let slow_ms = (open.estimate_ms * SLOW_TIMES).max(open.estimate_ms + SLOW_LEAST_MS);
     match end {
-        RunEnd::Done if ran_ms > slow_ms => Some(TaskEnd::Slow),
-        RunEnd::Done => Some(TaskEnd::Good),
-        RunEnd::Failed | RunEnd::NotStarted(NotStartedReason::Unhealthy) => Some(TaskEnd::Failed),
-        RunEnd::Stopped if ran_ms > slow_ms => Some(TaskEnd::Slow),
-        RunEnd::Stopped | RunEnd::Lost | RunEnd::NotStarted(_) => None,
+        RunOutcome::Done if ran_ms > slow_ms => Some(HealthSample::Slow),
+        RunOutcome::Done => Some(HealthSample::Good),
+        RunOutcome::Failed | RunOutcome::NotStarted(NotStartedReason::Unhealthy) => {
+            Some(HealthSample::Failed)
+        }
+        RunOutcome::Stopped if ran_ms > slow_ms => Some(HealthSample::Slow),
+        RunOutcome::Stopped | RunOutcome::Lost | RunOutcome::NotStarted(_) => None,
     }
 }
--- a/src/core/dispatch/intake.rs
+++ b/src/core/dispatch/intake.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        Answer, DispatchNote, Dispatcher, GiveUpReason, RefusalReason, Submission, WaiterId,
+        DispatchLogEvent, Dispatcher, GiveUpReason, JobOutcome, RefusalReason, Submission,
+        WaiterId,
         job::{Job, JobKey},
     },
     crate::core::{
@@ -37,7 +38,7 @@
                 RefusalReason::Unsupported | RefusalReason::BadJob | RefusalReason::TooLarge => 0,
             };
             let feature = submission.request.unsupported;
-            self.note(DispatchNote::JobRefused {
+            self.log_event(DispatchLogEvent::JobRefused {
                 job: submission.id.to_string(),
                 route: submission.route.name.clone(),
                 reason: reason.as_str(),
@@ -56,13 +57,13 @@
             Some(job) if !job.closed => {
                 job.waiters.push(waiter);
                 self.by_waiter.insert(waiter, known);
-                self.note(DispatchNote::JobJoined {
+                self.log_event(DispatchLogEvent::JobJoined {
                     job: submission.id.to_string(),
                 });
             }
             Some(job) => {
                 let runs = job.open_runs;
-                self.note(DispatchNote::JobHeld {
+                self.log_event(DispatchLogEvent::JobHeld {
                     job: submission.id.to_string(),
                     runs,
                 });
@@ -94,7 +95,7 @@
             .patience
             .waited_ms(&submission.route, submission.time_left_ms);
         let job = Job::new(now, submission, first_run, waited_ms);
-        let note = DispatchNote::JobTaken {
+        let note = DispatchLogEvent::JobTaken {
             job: id.to_string(),
             route: job.route.name.clone(),
             tasks: job.tasks.len(),
@@ -109,7 +110,7 @@
         self.new_jobs.push(key);
         self.by_id.insert(id, key);
         self.by_waiter.insert(waiter, key);
-        self.note(note);
+        self.log_event(note);
         let unblocked = self.jobs.get_mut(key).map(Job::unblock).unwrap_or_default();
         for task in unblocked {
             self.enqueue(now, key, task);
@@ -131,13 +132,13 @@
         };
         job.waiters.retain(|known| *known != waiter);
         if job.waiters.is_empty() && !job.closed {
-            self.answer(now, key, Answer::GivenUp(GiveUpReason::ClientGone));
+            self.answer(now, key, JobOutcome::GivenUp(GiveUpReason::ClientGone));
         }
     }
 
     /// Ends jobs that can't be done before their client stops waiting.
     pub(super) fn end_overdue_jobs(&mut self, now: Instant) {
-        let overdue: Vec<(JobKey, Answer)> = self
+        let overdue: Vec<(JobKey, JobOutcome)> = self
             .jobs
             .iter()
             .filter(|(_, job)| !job.closed && now >= job.deadline)
@@ -187,16 +188,16 @@
 }
 
 /// "Not run" where that is certain, else that tasks may have run.
-pub(super) fn final_answer(job: &Job, reason: GiveUpReason) -> Answer {
+pub(super) fn final_answer(job: &Job, reason: GiveUpReason) -> JobOutcome {
     if job.has_begun() {
-        return Answer::GivenUp(reason);
+        return JobOutcome::GivenUp(reason);
     }
     let refusal = match reason {
         GiveUpReason::DeadlinePassed => RefusalReason::DeadlinePassed,
         GiveUpReason::Isolated => RefusalReason::Isolated,
         GiveUpReason::Overloaded | GiveUpReason::ClientGone => RefusalReason::Overloaded,
     };
-    Answer::NotRun {
+    JobOutcome::NotRun {
         reason: refusal,
         retry_after_ms: OVERLOAD_RETRY_MS,
     }
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        DispatchAction, DispatchNote, Dispatcher, LinkId,
+        DispatchAction, DispatchLogEvent, Dispatcher, LinkId,
         worker_link::{WorkerKey, WorkerLink},
     },
     crate::core::{
-        link::{AgentFrame, EntryFrame, News, RunEnd},
+        link::{AgentFrame, EntryFrame, EvacuatedZones, RunOutcome},
         time::Instant,
         work::RunId,
     },
@@ -36,7 +36,7 @@
                 self.fetch_document(now, link, document_revision);
             }
             AgentFrame::Worker(view) => {
-                let note = DispatchNote::WorkerChanged {
+                let note = DispatchLogEvent::WorkerChanged {
                     agent: worker.agent.clone(),
                     worker: view
                         .as_ref()
@@ -50,14 +50,14 @@
                     worker.slowness = 1.0;
                 }
                 worker.view = view;
-                self.note(note);
+                self.log_event(note);
             }
             AgentFrame::Room(report) => {
                 worker.note_room(report);
                 self.told_room.push(key);
             }
             AgentFrame::Ended { run, end, ran_ms } => self.on_ended(now, key, run, end, ran_ms),
-            AgentFrame::News(news) => self.actions.push(DispatchAction::TakeNews(news)),
+            AgentFrame::News(news) => self.actions.push(DispatchAction::ApplyEvacuatedZones(news)),
             AgentFrame::FetchDocument(request) => {
                 let frame = EntryFrame::DocumentPart(self.document.part(request));
                 self.actions.push(DispatchAction::Send { link, frame });
@@ -86,7 +86,7 @@
             .get(key)
             .is_some_and(|known| stamp_us <= known.stamp_us)
         {
-            self.note(DispatchNote::HelloOutdated { agent });
+            self.log_event(DispatchLogEvent::HelloOutdated { agent });
             self.actions.push(DispatchAction::Close { link });
             return;
         }
@@ -102,7 +102,7 @@
             self.actions.push(DispatchAction::Close { link: replaced });
         }
         self.contact.heard(now);
-        self.note(DispatchNote::AgentConnected { agent });
+        self.log_event(DispatchLogEvent::AgentConnected { agent });
         self.send_news(key);
         self.beat(now, key);
     }
@@ -114,7 +114,7 @@
         };
         let runs: Vec<RunId> = worker.runs.keys().copied().collect();
         for run in runs {
-            self.on_ended(now, key, run, RunEnd::Lost, 0);
+            self.on_ended(now, key, run, RunOutcome::Lost, 0);
         }
     }
 
@@ -129,14 +129,14 @@
         };
         worker.link = None;
         let over_at = worker.stamped_at.plus_ms(over_after_ms);
-        let note = DispatchNote::AgentLost {
+        let note = DispatchLogEvent::AgentLost {
             agent: worker.agent.clone(),
             cause,
             heard_ms_ago: now.millis_since(worker.heard_at),
             runs: worker.runs.len(),
             over_in_ms: over_at.millis_since(now),
         };
-        self.note(note);
+        self.log_event(note);
     }
 
     /// Sends beats, gives silent sessions up, and takes runs as over that must be by now.
@@ -194,11 +194,11 @@
         self.actions.push(DispatchAction::Send { link, frame });
     }
 
-    pub(super) fn on_news(&mut self, news: News) {
+    pub(super) fn on_news(&mut self, news: EvacuatedZones) {
         if !news.is_newer_than(self.news.as_ref()) {
             return;
         }
-        self.note(DispatchNote::NewsInForce {
+        self.log_event(DispatchLogEvent::NewsInForce {
             version: news.version,
             evacuated: news.evacuated.iter().cloned().collect(),
         });
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -4,7 +4,7 @@
 mod choice;
 mod contact;
 mod dispatch_event;
-mod dispatch_note;
+mod dispatch_log_event;
 mod dispatcher;
 mod documents;
 mod ends;
@@ -24,9 +24,9 @@
 
 pub(crate) use {
     dispatch_event::{
-        Answer, DispatchAction, DispatchEvent, GiveUpReason, LinkId, RefusalReason, Submission,
+        DispatchAction, DispatchEvent, GiveUpReason, JobOutcome, LinkId, RefusalReason, Submission,
         WaiterId,
     },
-    dispatch_note::DispatchNote,
+    dispatch_log_event::DispatchLogEvent,
     dispatcher::{DispatchSettings, Dispatcher},
 };
--- a/src/core/dispatch/outlook.rs
+++ b/src/core/dispatch/outlook.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Answer, Dispatcher, RefusalReason,
+        Dispatcher, JobOutcome, RefusalReason,
         job::{Job, JobKey},
         pace::Pace,
         placing::free_for,
@@ -74,7 +74,7 @@
             return;
         }
         let (least, most) = RETRY_MS;
-        let answer = Answer::NotRun {
+        let answer = JobOutcome::NotRun {
             reason: RefusalReason::Overloaded,
             retry_after_ms: self
                 .pace
--- a/src/core/dispatch/overdue.rs
+++ b/src/core/dispatch/overdue.rs
@@ -1,7 +1,7 @@
 //! Runs that take far longer than estimated.
 
 use {
-    super::{DispatchAction, DispatchNote, Dispatcher},
+    super::{DispatchAction, DispatchLogEvent, Dispatcher},
     crate::core::{link::EntryFrame, time::Instant},
 };
 
@@ -29,7 +29,7 @@
                 let most_ms = (open.estimate_ms * OVERDUE_TIMES).max(OVERDUE_LEAST_MS);
                 if !open.stopping && after_ms > most_ms {
                     open.stopping = true;
-                    let note = DispatchNote::RunOverdue {
+                    let note = DispatchLogEvent::RunOverdue {
                         job: run.task.job.to_string(),
                         run: run.to_string(),
                         agent: worker.agent.clone(),
@@ -43,7 +43,7 @@
         for (link, run, note) in overdue {
             let frame = EntryFrame::Stop { run };
             self.actions.push(DispatchAction::Send { link, frame });
-            self.note(note);
+            self.log_event(note);
         }
     }
 }
--- a/src/core/dispatch/placing.rs
+++ b/src/core/dispatch/placing.rs
@@ -9,9 +9,9 @@
         worker_link::{OpenRun, WorkerKey, WorkerLink},
     },
     crate::core::{
-        link::{EntryFrame, News, StartOrder},
+        link::{EntryFrame, EvacuatedZones, StartOrder},
         time::Instant,
-        work::{Needs, StepSpec},
+        work::{Resources, StepSpec},
     },
     std::mem,
 };
@@ -117,7 +117,9 @@
         };
         let (needs, estimate_ms) = job
             .step(waiting.task)
-            .map_or((Needs::default(), 0), |step| (step.needs, step.estimate_ms));
+            .map_or((Resources::default(), 0), |step| {
+                (step.needs, step.estimate_ms)
+            });
         let Some(task) = job.tasks.get_mut(waiting.task) else {
             return;
         };
@@ -154,8 +156,8 @@
     worker: &WorkerLink,
     job: &Job,
     step: &StepSpec,
-    news: Option<&News>,
-) -> Option<Needs> {
+    news: Option<&EvacuatedZones>,
+) -> Option<Resources> {
     worker.usable_view(now, job, step, news)?;
     let is_trusted = worker.runs.len() < usize::from(worker.health.most_tasks(now));
     let is_open = is_trusted && now >= worker.paused_until;
@@ -169,7 +171,7 @@
 /// Were the emptiest worker always taken, all of them would take the same one, and it would turn
 /// most of their orders away. A draw spreads them over what is free; the square makes an empty
 /// worker four times as likely as one that is half full.
-fn weight(worker: &WorkerLink, free: Needs, step: &StepSpec, is_risky: bool) -> f64 {
+fn weight(worker: &WorkerLink, free: Resources, step: &StepSpec, is_risky: bool) -> f64 {
     let capacity = worker
         .view
         .as_ref()
@@ -191,7 +193,7 @@
 /// Guards against jobs that fail although most workers are sound: of several that fail what they start, one would get the
 /// task's first run and another one its last.
 fn is_risky(key: WorkerKey, worker: &WorkerLink, task: &Task) -> bool {
-    task.avoid == Some(key) || (task.failed_runs > 0 && !worker.health.is_sound())
+    task.avoid == Some(key) || (task.failed_runs > 0 && !worker.health.is_healthy())
 }
 
 /// Whether the worker has as many tasks of the step as it may.
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -4,16 +4,19 @@
 
 use {
     super::{
-        Answer, DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, GiveUpReason, LinkId,
-        RefusalReason, Submission, WaiterId,
+        DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, GiveUpReason, JobOutcome,
+        LinkId, RefusalReason, Submission, WaiterId,
     },
     crate::core::{
-        link::{AgentFrame, EntryFrame, News, NotStartedReason, RoomReport, RunEnd, StartOrder},
+        link::{
+            AgentFrame, CapacityReport, EntryFrame, EvacuatedZones, NotStartedReason, RunOutcome,
+            StartOrder,
+        },
         routes::Route,
         time::Instant,
         work::{
-            JobId, JobRequest, Needs, RunId, RunLimits, StepSpec, UnsupportedFeature, WorkerLife,
-            WorkerView,
+            JobId, JobRequest, Resources, RunId, RunLimits, StepSpec, UnsupportedFeature,
+            WorkerIncarnation, WorkerView,
         },
     },
     std::{collections::BTreeSet, sync::Arc},
@@ -30,10 +33,10 @@
     actions: Vec<DispatchAction>,
 }
 
-fn needs(cores: u32) -> Needs {
-    Needs {
+fn needs(cores: u32) -> Resources {
+    Resources {
         cpu_milli: cores * 1_000,
-        ..Needs::default()
+        ..Resources::default()
     }
 }
 
@@ -112,7 +115,7 @@
         };
         self.frame(worker, hello);
         let view = WorkerView {
-            life: WorkerLife {
+            life: WorkerIncarnation {
                 id: format!("w-{worker}"),
                 born_unix_ms: 1,
             },
@@ -123,7 +126,7 @@
             draining: false,
         };
         self.frame(worker, AgentFrame::Worker(Some(view)));
-        let report = RoomReport {
+        let report = CapacityReport {
             free: needs(cores),
             starts_seen: 0,
             entries,
@@ -133,7 +136,7 @@
 
     fn room(&mut self, worker: u64, cores: u32, starts_seen: u32) {
         let free = needs(cores);
-        let report = RoomReport {
+        let report = CapacityReport {
             free,
             starts_seen,
             entries: 1,
@@ -150,7 +153,7 @@
         self.feed(DispatchEvent::Frame { link, frame });
     }
 
-    fn end(&mut self, (worker, run): (u64, RunId), end: RunEnd) {
+    fn end(&mut self, (worker, run): (u64, RunId), end: RunOutcome) {
         self.frame(
             worker,
             AgentFrame::Ended {
@@ -207,9 +210,9 @@
         self.actions.iter().filter(is_stop).count()
     }
 
-    fn answers(&self) -> Vec<Answer> {
+    fn answers(&self) -> Vec<JobOutcome> {
         let answers = self.actions.iter().filter_map(|action| match action {
-            DispatchAction::Answer { answer, .. } => Some(*answer),
+            DispatchAction::Reply { answer, .. } => Some(*answer),
             _ => None,
         });
         answers.collect()
@@ -226,11 +229,11 @@
     let mut bench = Bench::with_workers(2);
     let starts = bench.submit(job(1, 0, vec![step(3, 50)]));
     assert_eq!(starts.len(), 3);
-    bench.end(starts[0], RunEnd::Done);
-    bench.end(starts[1], RunEnd::Done);
+    bench.end(starts[0], RunOutcome::Done);
+    bench.end(starts[1], RunOutcome::Done);
     assert!(bench.answers().is_empty());
-    bench.end(starts[2], RunEnd::Done);
-    assert_eq!(bench.answers(), [Answer::Completed]);
+    bench.end(starts[2], RunOutcome::Done);
+    assert_eq!(bench.answers(), [JobOutcome::Completed]);
 }
 
 #[test]
@@ -242,9 +245,9 @@
     };
     let starts = bench.submit(job(1, 0, vec![step(2, 50), second]));
     assert_eq!(starts.len(), 2);
-    bench.end(starts[0], RunEnd::Done);
+    bench.end(starts[0], RunOutcome::Done);
     assert!(bench.starts().is_empty());
-    bench.end(starts[1], RunEnd::Done);
+    bench.end(starts[1], RunOutcome::Done);
     assert_eq!(bench.starts()[0].1.task.step, 1);
 }
 
@@ -254,10 +257,10 @@
     let mut starts = bench.submit(job(1, 0, vec![step(1, 50)]));
     for attempt in 1..=3 {
         assert_eq!(starts[0].1.number, attempt);
-        bench.end(starts[0], RunEnd::Failed);
+        bench.end(starts[0], RunOutcome::Failed);
         starts = bench.starts();
     }
-    assert_eq!(bench.answers(), [Answer::Failed]);
+    assert_eq!(bench.answers(), [JobOutcome::Failed]);
     assert!(starts.is_empty());
 }
 
@@ -273,7 +276,7 @@
                 assert!(bench.submit(submission).is_empty());
                 let answers = bench.answers();
                 let reason = RefusalReason::$reason;
-                assert!(matches!(answers[..], [Answer::NotRun { reason: r, .. }] if r == reason));
+                assert!(matches!(answers[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
             }
         )+
     };
@@ -304,7 +307,7 @@
     let mut copy = job(1, 0, vec![step(1, 900)]);
     copy.waiter = WaiterId(2);
     assert!(bench.submit(copy).is_empty());
-    bench.end(starts[0], RunEnd::Stopped);
+    bench.end(starts[0], RunOutcome::Stopped);
     assert_eq!(bench.starts()[0].1.number, 2);
 }
 
@@ -365,7 +368,7 @@
     let answers = bench.answers();
     let reason = RefusalReason::Isolated;
     assert!(
-        matches!(answers[..], [Answer::NotRun { reason: r, retry_after_ms }] if r == reason && retry_after_ms > 0)
+        matches!(answers[..], [JobOutcome::NotRun { reason: r, retry_after_ms }] if r == reason && retry_after_ms > 0)
     );
 }
 
@@ -377,7 +380,10 @@
     bench.submit(job(1, 0, vec![step(1, 900)]));
     bench.now = bench.now.plus_ms(2_000);
     bench.feed(DispatchEvent::Tick);
-    assert_eq!(bench.answers(), [Answer::GivenUp(GiveUpReason::Isolated)]);
+    assert_eq!(
+        bench.answers(),
+        [JobOutcome::GivenUp(GiveUpReason::Isolated)]
+    );
     bench.connect(1);
     assert!(bench.submit(job(2, 0, vec![step(1, 50)])).is_empty());
     bench.pass_ms(120);
@@ -387,7 +393,7 @@
 #[test]
 fn nothing_is_placed_in_a_zone_that_is_out() {
     let mut bench = Bench::with_workers(2);
-    bench.feed(DispatchEvent::News(News {
+    bench.feed(DispatchEvent::EvacuatedZones(EvacuatedZones {
         version: 5,
         evacuated: BTreeSet::from(["south".to_owned()]),
     }));
@@ -404,7 +410,7 @@
     let running = bench.submit(job(1, 2, vec![step(2, 900)]));
     bench.submit(job(2, 2, vec![step(1, 900)]));
     bench.submit(job(3, 0, vec![step(1, 60)]));
-    bench.end(running[0], RunEnd::Done);
+    bench.end(running[0], RunOutcome::Done);
     bench.room(1, 1, 2);
     assert_eq!(bench.starts()[0].1.task.job, JobId(3));
 }
@@ -418,7 +424,7 @@
     let begun = bench.submit(job(1, 0, vec![step(4, 400)]));
     assert_eq!(begun.len(), 2);
     assert!(bench.submit(job(2, 0, vec![step(2, 100)])).is_empty());
-    bench.end(begun[0], RunEnd::Done);
+    bench.end(begun[0], RunOutcome::Done);
     bench.room(1, 1, 2);
     let next = bench.starts();
     assert_eq!(next[0].1.task.job, JobId(1));
@@ -437,7 +443,7 @@
         bench.submit(job(number, 0, vec![step(4, 100)]));
         let answers = bench.answers();
         assert!(
-            matches!(answers[..], [Answer::NotRun { retry_after_ms, .. }] if retry_after_ms >= 1_000),
+            matches!(answers[..], [JobOutcome::NotRun { retry_after_ms, .. }] if retry_after_ms >= 1_000),
             "{answers:?}"
         );
     }
@@ -461,11 +467,11 @@
     assert!(bench.answers().is_empty());
     for number in 4..8 {
         bench.submit(patient(number));
-        assert!(matches!(bench.answers()[..], [Answer::NotRun { .. }]));
+        assert!(matches!(bench.answers()[..], [JobOutcome::NotRun { .. }]));
     }
     let mut started = BTreeSet::new();
     for run in &running[..2] {
-        bench.end(*run, RunEnd::Done);
+        bench.end(*run, RunOutcome::Done);
         bench.room(run.0, 1, 2);
         started.extend(bench.starts().iter().map(|(_, run)| run.task.job));
     }
@@ -486,7 +492,7 @@
     });
     bench.submit(tight);
     assert!(bench.answers().is_empty());
-    bench.end(running[0], RunEnd::Done);
+    bench.end(running[0], RunOutcome::Done);
     bench.room(1, 1, 2);
     assert_eq!(bench.starts()[0].1.task.job, JobId(2));
 }
@@ -498,7 +504,7 @@
     let starts = bench.submit(job(1, 0, vec![step(6, 500)]));
     bench.submit(job(2, 0, vec![step(1, 900)]));
     assert!(bench.answers().is_empty());
-    bench.end(starts[0], RunEnd::Done);
+    bench.end(starts[0], RunOutcome::Done);
     bench.room(starts[0].0, 1, 2);
     assert_eq!(bench.starts()[0].1.task.job, JobId(2));
 }
@@ -510,7 +516,7 @@
     let mut bench = Bench::with_workers(2);
     let starts = bench.submit(job(1, 0, vec![step(1, 400)]));
     let (worker, _) = starts[0];
-    bench.end(starts[0], RunEnd::NotStarted(NotStartedReason::NoRoom));
+    bench.end(starts[0], RunOutcome::NotStarted(NotStartedReason::NoRoom));
     let declines = |bench: &Bench| {
         let is_decline = |action: &&DispatchAction| matches!(action, DispatchAction::Send { link, frame: EntryFrame::Decline } if link.0 == worker);
         bench.actions.iter().filter(is_decline).count()
@@ -538,7 +544,7 @@
     assert!(
         matches!(
             answers[..],
-            [Answer::NotRun {
+            [JobOutcome::NotRun {
                 reason: RefusalReason::Overloaded,
                 retry_after_ms: 1..
             }]
@@ -558,11 +564,15 @@
         for (worker, run) in bench.submit(job(number, 0, vec![step(1, 100)])) {
             let fails = worker <= 5;
             failed += u32::from(fails);
-            let end = if fails { RunEnd::Failed } else { RunEnd::Done };
+            let end = if fails {
+                RunOutcome::Failed
+            } else {
+                RunOutcome::Done
+            };
             bench.end((worker, run), end);
             bench.room(worker, ROOM, 1_000);
             for (worker, run) in bench.starts() {
-                bench.end((worker, run), RunEnd::Done);
+                bench.end((worker, run), RunOutcome::Done);
                 bench.room(worker, ROOM, 1_000);
             }
         }
@@ -585,10 +595,10 @@
     let mut bench = Bench::with_workers(1);
     let running = bench.submit(job(1, 0, vec![step(2, 100)]));
     bench.submit(sent_again(2));
-    assert!(matches!(bench.answers()[..], [Answer::NotRun { .. }]));
+    assert!(matches!(bench.answers()[..], [JobOutcome::NotRun { .. }]));
     bench.submit(job(3, 0, vec![step(1, 100)]));
     assert!(bench.answers().is_empty());
-    bench.end(running[0], RunEnd::Done);
+    bench.end(running[0], RunOutcome::Done);
     bench.room(1, 1, 2);
     assert_eq!(bench.starts()[0].1.task.job, JobId(3));
 }
@@ -609,7 +619,7 @@
     let running = bench.submit(job(1, 0, vec![step(2, 100)]));
     bench.submit(job(2, 0, vec![step(1, 100)]));
     assert!(bench.answers().is_empty());
-    bench.end(running[0], RunEnd::Done);
+    bench.end(running[0], RunOutcome::Done);
     bench.room(1, 1, 2);
     assert_eq!(bench.starts()[0].1.task.job, JobId(2));
 }
@@ -624,7 +634,7 @@
     assert_eq!(bench.stops(), 0);
     bench.pass_ms(40);
     assert_eq!((bench.stops(), bench.starts().len()), (1, 0));
-    bench.end(starts[0], RunEnd::Stopped);
+    bench.end(starts[0], RunOutcome::Stopped);
     assert_ne!(bench.starts()[0].0, starts[0].0);
 }
 
@@ -633,12 +643,12 @@
 #[test]
 fn an_entry_that_is_to_end_serves_until_its_connections_close() {
     let mut bench = Bench::with_workers(1);
-    bench.feed(DispatchEvent::Leave);
+    bench.feed(DispatchEvent::Shutdown);
     bench.pass_ms(2_900);
     assert_eq!(bench.submit(job(1, 0, vec![step(1, 50)])).len(), 1);
     bench.pass_ms(200);
     assert!(bench.submit(job(2, 0, vec![step(1, 50)])).is_empty());
     let answers = bench.answers();
     let reason = RefusalReason::Leaving;
-    assert!(matches!(answers[..], [Answer::NotRun { reason: r, .. }] if r == reason));
+    assert!(matches!(answers[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
 }
--- a/src/core/dispatch/tests/several_entries.rs
+++ b/src/core/dispatch/tests/several_entries.rs
@@ -27,7 +27,7 @@
     }
 
     fn report(&self, entry: usize) -> AgentFrame {
-        AgentFrame::Room(RoomReport {
+        AgentFrame::Room(CapacityReport {
             free: needs(SLOTS - self.running),
             starts_seen: self.starts_seen.get(&entry).copied().unwrap_or_default(),
             entries: ENTRIES as u16,
@@ -78,7 +78,7 @@
             self.entries[entry].frame(worker, report);
             self.collect_orders(entry);
             if !taken {
-                let end = RunEnd::NotStarted(NotStartedReason::NoRoom);
+                let end = RunOutcome::NotStarted(NotStartedReason::NoRoom);
                 self.entries[entry].end((worker, run), end);
                 self.collect_orders(entry);
             }
--- a/src/core/dispatch/worker_link.rs
+++ b/src/core/dispatch/worker_link.rs
@@ -7,9 +7,9 @@
     },
     crate::core::{
         ejection::RunnerHealth,
-        link::{News, RoomReport},
+        link::{CapacityReport, EvacuatedZones},
         time::Instant,
-        work::{Needs, RunId, StepSpec, WorkerView},
+        work::{Resources, RunId, StepSpec, WorkerView},
     },
     slotmap::new_key_type,
     std::collections::{BTreeMap, VecDeque},
@@ -64,10 +64,10 @@
     pub(super) slowness: f64,
     /// An order was turned away for want of room; the agent keeps that in mind and offers room in turn.
     wishes: bool,
-    report: RoomReport,
+    report: CapacityReport,
     starts_sent: u32,
     /// Orders that the report does not take account of.
-    unreported: VecDeque<(u32, Needs)>,
+    unreported: VecDeque<(u32, Resources)>,
 }
 
 impl WorkerLink {
@@ -85,7 +85,7 @@
             paused_until: now,
             slowness: 1.0,
             wishes: false,
-            report: RoomReport::default(),
+            report: CapacityReport::default(),
             starts_sent: 0,
             unreported: VecDeque::new(),
         }
@@ -100,7 +100,7 @@
         self.stamp_us = stamp_us;
         self.stamped_at = now;
         self.wishes = false;
-        self.report = RoomReport::default();
+        self.report = CapacityReport::default();
         self.starts_sent = 0;
         self.unreported.clear();
     }
@@ -112,12 +112,12 @@
         }
     }
 
-    pub(super) fn note_start(&mut self, needs: Needs) {
+    pub(super) fn note_start(&mut self, needs: Resources) {
         self.starts_sent += 1;
         self.unreported.push_back((self.starts_sent, needs));
     }
 
-    pub(super) fn note_room(&mut self, report: RoomReport) {
+    pub(super) fn note_room(&mut self, report: CapacityReport) {
         self.report = report;
         while self
             .unreported
@@ -147,7 +147,7 @@
         now: Instant,
         job: &Job,
         step: &StepSpec,
-        news: Option<&News>,
+        news: Option<&EvacuatedZones>,
     ) -> Option<&WorkerView> {
         let view = self.view.as_ref()?;
         let has_label = |label: &String| view.labels.contains(label);
@@ -157,7 +157,7 @@
             && !view.draining
             && view.service == job.route.service
             && !is_evacuated
-            && !self.health.is_left_alone(now)
+            && !self.health.is_ejected(now)
             && step.required_label.as_ref().is_none_or(has_label);
         is_usable.then_some(view)
     }
@@ -168,7 +168,7 @@
     }
 
     /// What is free there, less what was ordered since the agent's report.
-    pub(super) fn free(&self) -> Needs {
+    pub(super) fn free(&self) -> Resources {
         let ordered = self.unreported.iter();
         ordered.fold(self.report.free, |free, (_, needs)| free.minus(*needs))
     }
@@ -180,7 +180,7 @@
     /// room and would fill it by itself, and the worker would turn all but one of them away, again and
     /// again. An entry therefore has no more under way than its share of the room that was reported;
     /// one that orders alone gets its share of what is left with each report, two milliseconds apart.
-    pub(super) fn may_order(&self, needs: Needs) -> bool {
+    pub(super) fn may_order(&self, needs: Resources) -> bool {
         let entries = u32::from(self.report.entries).max(1);
         let share = needs.times_in(self.report.free).div_ceil(entries);
         u32::try_from(self.unreported.len()).is_ok_and(|under_way| under_way < share)
--- a/src/core/ejection/mod.rs
+++ b/src/core/ejection/mod.rs
@@ -8,5 +8,5 @@
 
 pub(crate) use {
     ejection_reason::EjectionReason,
-    runner_health::{RunnerHealth, TaskEnd},
+    runner_health::{HealthSample, RunnerHealth},
 };
--- a/src/core/ejection/runner_health.rs
+++ b/src/core/ejection/runner_health.rs
@@ -17,7 +17,7 @@
 
 /// How one task ended, as far as it says something about its runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum TaskEnd {
+pub(crate) enum HealthSample {
     /// Done in a usual time.
     Good,
     /// Done, and well beyond what nine in ten tasks of the service take.
@@ -50,23 +50,23 @@
 
 impl RunnerHealth {
     /// Takes in how a task ended there; a reason if that makes it one to be left alone.
-    pub(crate) fn note(&mut self, now: Instant, end: TaskEnd) -> Option<EjectionReason> {
+    pub(crate) fn record(&mut self, now: Instant, end: HealthSample) -> Option<EjectionReason> {
         match end {
-            TaskEnd::Good => {
+            HealthSample::Good => {
                 self.failures = 0;
                 self.slow_tasks = 0;
                 self.note_good_end();
                 return None;
             }
-            TaskEnd::Slow => {
+            HealthSample::Slow => {
                 self.failures = 0;
                 self.slow_tasks = self.slow_tasks.saturating_add(1);
             }
-            TaskEnd::Failed => self.failures = self.failures.saturating_add(1),
+            HealthSample::Failed => self.failures = self.failures.saturating_add(1),
         }
         let reason = self.reason()?;
         // Tasks that it was given before may still end while it is left alone.
-        if !self.is_left_alone(now) {
+        if !self.is_ejected(now) {
             self.eject(now);
             return Some(reason);
         }
@@ -101,12 +101,12 @@
     }
 
     /// Whether nothing speaks against it: it is trusted, and its last task ended well.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_healthy(&self) -> bool {
         self.trust == Trust::Full && self.failures == 0 && self.slow_tasks == 0
     }
 
     /// Whether it is given nothing at all now.
-    pub(crate) fn is_left_alone(&self, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         matches!(self.trust, Trust::Probation { from, .. } if now < from)
     }
 
--- a/src/core/ejection/tests.rs
+++ b/src/core/ejection/tests.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         EjectionReason::{self, Failing, Slow},
-        RunnerHealth, TaskEnd,
+        HealthSample, RunnerHealth,
     },
     crate::core::time::Instant,
 };
@@ -16,11 +16,11 @@
     for end in ends.chars() {
         now = now.plus_ms(10);
         let end = match end {
-            's' => TaskEnd::Slow,
-            'f' => TaskEnd::Failed,
-            _ => TaskEnd::Good,
+            's' => HealthSample::Slow,
+            'f' => HealthSample::Failed,
+            _ => HealthSample::Good,
         };
-        ejected = health.note(now, end);
+        ejected = health.record(now, end);
     }
     (health, now, ejected)
 }
@@ -52,12 +52,15 @@
     assert_eq!(health.most_tasks(now.plus_ms(999)), 0);
     let probation = now.plus_ms(1_000);
     assert_eq!(health.most_tasks(probation), 1);
-    assert_eq!(health.note(probation, TaskEnd::Failed), Some(Failing));
-    assert!(health.is_left_alone(probation.plus_ms(1_999)));
+    assert_eq!(
+        health.record(probation, HealthSample::Failed),
+        Some(Failing)
+    );
+    assert!(health.is_ejected(probation.plus_ms(1_999)));
     let again = probation.plus_ms(2_000);
     for _ in 0..3 {
         assert_eq!(health.most_tasks(again), 1);
-        assert_eq!(health.note(again, TaskEnd::Good), None);
+        assert_eq!(health.record(again, HealthSample::Good), None);
     }
     assert_eq!(health.most_tasks(again), u16::MAX);
 }
--- a/src/core/execution/documents.rs
+++ b/src/core/execution/documents.rs
@@ -1,7 +1,7 @@
 //! The operators' document, which an agent may hold for entries that do not reach the store.
 
 use {
-    super::{ExecutionNote, Executor, SessionId},
+    super::{ExecutionLogEvent, Executor, SessionId},
     crate::core::{
         document::{DocumentPart, FetchStep},
         link::AgentFrame,
@@ -51,7 +51,7 @@
             FetchStep::Ask(request) => self.send(session, AgentFrame::FetchDocument(request)),
             FetchStep::Complete(fetched) => {
                 let link = self.sessions.get(&session);
-                self.note(ExecutionNote::DocumentFetched {
+                self.log_event(ExecutionLogEvent::DocumentFetched {
                     entry: link.map(|link| link.entry.clone()).unwrap_or_default(),
                     revision: fetched.document.revision,
                     bytes: fetched.document.text.len(),
--- a/src/core/execution/execution_event.rs
+++ b/src/core/execution/execution_event.rs
@@ -1,9 +1,9 @@
 //! What goes into the executor and what comes out.
 
 use {
-    super::ExecutionNote,
+    super::ExecutionLogEvent,
     crate::core::{
-        link::{AgentFrame, EntryFrame, RunEnd},
+        link::{AgentFrame, EntryFrame, RunOutcome},
         work::{TaskId, WorkerView},
     },
     std::sync::Arc,
@@ -62,7 +62,7 @@
 
 /// What the worker answered to a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum StartAnswer {
+pub(crate) enum StartResponse {
     /// The run is there.
     Accepted,
     /// A higher fencing token was seen; nothing was done.
@@ -100,12 +100,12 @@
     /// Number of the run.
     pub(crate) number: u32,
     /// How it ended.
-    pub(crate) end: RunEnd,
+    pub(crate) end: RunOutcome,
 }
 
 /// What the worker answered to a hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum HoldAnswer {
+pub(crate) enum HoldResponse {
     /// Its lists.
     Lists {
         /// When this life of the worker began, if it says so.
@@ -155,7 +155,7 @@
         sequence: u64,
     },
     /// An earlier process of this agent has left word of the worker.
-    Recalled {
+    WorkerRestored {
         /// What the worker said of itself then.
         view: WorkerView,
     },
@@ -169,7 +169,7 @@
         /// The call.
         call: StartCall,
         /// The answer.
-        answer: StartAnswer,
+        answer: StartResponse,
     },
     /// A stop was answered, or given up if not `confirmed`.
     StopAnswered {
@@ -183,10 +183,10 @@
         /// The call.
         call: HoldCall,
         /// The answer.
-        answer: HoldAnswer,
+        answer: HoldResponse,
     },
     /// The process is to end.
-    Leave,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
@@ -207,14 +207,14 @@
         session: SessionId,
     },
     /// Nothing that was started on a lost session is left: its entry may be dialled again.
-    Cleared {
+    SessionDrained {
         /// The session.
         session: SessionId,
     },
     /// Nothing runs at the worker that an earlier process of this agent started: entries may be dialled.
-    CleanSlate,
+    StaleRunsStopped,
     /// Keep what the worker says of itself for a later process of this agent.
-    Keep(WorkerView),
+    PersistWorker(WorkerView),
     /// Call the worker.
     Start(StartCall),
     /// Call the worker.
@@ -222,5 +222,5 @@
     /// Call the worker.
     Hold(HoldCall),
     /// Write a line of the log.
-    Note(ExecutionNote),
+    Log(ExecutionLogEvent),
 }
--- a/src/core/execution/execution_note.rs
+++ b/src/core/execution/execution_log_event.rs
@@ -5,7 +5,7 @@
 /// One decision with what it was based on.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub(crate) enum ExecutionNote {
+pub(crate) enum ExecutionLogEvent {
     /// A session with an entry is open.
     EntryConnected {
         /// The entry's address.
--- a/src/core/execution/executor.rs
+++ b/src/core/execution/executor.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionEvent, ExecutionNote, SessionId, room::Offer, run::Run,
+        ExecutionAction, ExecutionEvent, ExecutionLogEvent, SessionId, room::Offer, run::Run,
         sessions::EntryLink, worker_state::WorkerState,
     },
     crate::core::{
         document::DocumentCopy,
-        link::{AgentFrame, News, RunEnd},
+        link::{AgentFrame, EvacuatedZones, RunOutcome},
         time::Instant,
-        work::{Needs, RunLimits, TaskId, WorkerView},
+        work::{Resources, RunLimits, TaskId, WorkerView},
     },
     std::{collections::BTreeMap, mem},
 };
@@ -36,7 +36,7 @@
     pub(super) sessions: BTreeMap<SessionId, EntryLink>,
     /// Lost sessions with runs that are not over, and their entries.
     pub(super) clearing: BTreeMap<SessionId, String>,
-    pub(super) news: Option<News>,
+    pub(super) news: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<SessionId>,
     pub(super) token: u64,
     pub(super) token_step: u64,
@@ -81,7 +81,7 @@
             ExecutionEvent::SessionLost { session } => self.lose_session(now, session, "closed"),
             ExecutionEvent::Frame { session, frame } => self.on_frame(now, session, frame),
             ExecutionEvent::Heartbeat { view, sequence } => self.on_heartbeat(now, view, sequence),
-            ExecutionEvent::Recalled { view } => self.on_recalled(now, view),
+            ExecutionEvent::WorkerRestored { view } => self.on_recalled(now, view),
             ExecutionEvent::WorkerLeft { worker } => self.on_worker_left(now, &worker),
             ExecutionEvent::StartAnswered { call, answer } => {
                 self.on_start_answered(now, &call, answer);
@@ -92,7 +92,7 @@
             ExecutionEvent::HoldAnswered { call, answer } => {
                 self.on_hold_answered(now, &call, answer);
             }
-            ExecutionEvent::Leave => self.on_leave(),
+            ExecutionEvent::Shutdown => self.on_leave(),
             ExecutionEvent::Tick => self.on_tick(now),
         }
         self.tend_worker(now);
@@ -146,7 +146,7 @@
         worker.view = view.clone();
         let name = worker.view.life.id.clone();
         if drains {
-            self.note(ExecutionNote::WorkerDraining { worker: name, runs });
+            self.log_event(ExecutionLogEvent::WorkerDraining { worker: name, runs });
         }
         self.keep(view);
         self.announce_worker();
@@ -167,7 +167,7 @@
         } else {
             self.lose_confirmed_runs(now, "worker_restarted")
         };
-        self.note(ExecutionNote::WorkerSeen {
+        self.log_event(ExecutionLogEvent::WorkerSeen {
             worker: view.life.id.clone(),
             born_unix_ms: view.life.born_unix_ms,
             runs_lost,
@@ -185,7 +185,7 @@
             return;
         }
         let runs = self.lose_confirmed_runs(now, "worker_left");
-        self.note(ExecutionNote::WorkerLost {
+        self.log_event(ExecutionLogEvent::WorkerLost {
             worker: worker.to_owned(),
             cause: "left",
             runs,
@@ -221,9 +221,9 @@
     }
 
     /// What is free on the worker; runs that are being stopped still count.
-    pub(super) fn free(&self) -> Needs {
+    pub(super) fn free(&self) -> Resources {
         let Some(worker) = &self.worker else {
-            return Needs::default();
+            return Resources::default();
         };
         let taken = self.runs.values();
         taken.fold(worker.view.capacity, |free, run| {
@@ -232,7 +232,7 @@
     }
 
     /// Ends a run and tells its entry; the cause is that of its stop, if it was stopped.
-    pub(super) fn end_run(&mut self, now: Instant, task: TaskId, end: RunEnd) {
+    pub(super) fn end_run(&mut self, now: Instant, task: TaskId, end: RunOutcome) {
         let stop = self.runs.get(&task).and_then(|run| run.stop);
         let cause = stop.map_or("", |stop| stop.cause);
         self.end_run_because(now, task, end, cause);
@@ -243,15 +243,15 @@
         &mut self,
         now: Instant,
         task: TaskId,
-        end: RunEnd,
+        end: RunOutcome,
         cause: &'static str,
     ) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
         let ran_ms = run.ran_ms(now);
-        if end != RunEnd::Done {
-            self.note(ExecutionNote::RunEnded {
+        if end != RunOutcome::Done {
+            self.log_event(ExecutionLogEvent::RunEnded {
                 job: task.job.to_string(),
                 run: run.order.run.to_string(),
                 end: end.as_str(),
@@ -275,7 +275,7 @@
         }
     }
 
-    pub(super) fn note(&mut self, note: ExecutionNote) {
-        self.actions.push(ExecutionAction::Note(note));
+    pub(super) fn log_event(&mut self, note: ExecutionLogEvent) {
+        self.actions.push(ExecutionAction::Log(note));
     }
 }
--- a/src/core/execution/holds.rs
+++ b/src/core/execution/holds.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionNote, Executor, HoldAnswer, HoldCall, ListedEnd, ListedRun,
+        ExecutionAction, ExecutionLogEvent, Executor, HoldCall, HoldResponse, ListedEnd, ListedRun,
         run::StartState, worker_state::ClockReading,
     },
     crate::core::{
-        link::{NotStartedReason, RunEnd},
+        link::{NotStartedReason, RunOutcome},
         time::Instant,
         work::TaskId,
     },
@@ -14,14 +14,14 @@
 };
 
 impl Executor {
-    pub(super) fn on_hold_answered(&mut self, now: Instant, call: &HoldCall, answer: HoldAnswer) {
+    pub(super) fn on_hold_answered(&mut self, now: Instant, call: &HoldCall, answer: HoldResponse) {
         if call.wait_ms > 0
             && let Some(worker) = &mut self.worker
         {
             worker.watching_since = None;
         }
         match answer {
-            HoldAnswer::Lists {
+            HoldResponse::Lists {
                 born_unix_ms,
                 clock_ms,
                 running,
@@ -36,13 +36,13 @@
                 self.take_ends(now, &ended);
                 self.take_running(now, call, &running, overtaken);
             }
-            HoldAnswer::Fenced => {
+            HoldResponse::Fenced => {
                 self.note_worker_answer(now);
                 if call.token >= self.token {
                     self.raise_token();
                 }
             }
-            HoldAnswer::OtherWorker | HoldAnswer::Unanswered => self.note_unanswered_look(now),
+            HoldResponse::OtherWorker | HoldResponse::Unanswered => self.note_unanswered_look(now),
         }
     }
 
@@ -155,7 +155,7 @@
             .map(|(task, number)| (*task, *number))
             .collect();
         for (task, number) in &strays {
-            self.note(ExecutionNote::StrayRun {
+            self.log_event(ExecutionLogEvent::StrayRun {
                 job: task.job.to_string(),
                 task: task.to_string(),
                 number: *number,
@@ -180,15 +180,15 @@
                 }
                 StartState::Unresolved { token, begun } if token < call.token => {
                     let end = if begun {
-                        RunEnd::Lost
+                        RunOutcome::Lost
                     } else {
-                        RunEnd::NotStarted(NotStartedReason::OrderLost)
+                        RunOutcome::NotStarted(NotStartedReason::OrderLost)
                     };
                     over.push((*task, end));
                 }
                 StartState::Ordered | StartState::Unresolved { .. } => {}
                 StartState::Confirmed { .. } if !is_listed && stopped => {
-                    over.push((*task, RunEnd::Stopped));
+                    over.push((*task, RunOutcome::Stopped));
                 }
                 StartState::Confirmed { .. } => {}
             }
@@ -209,8 +209,8 @@
         }
         worker.ready = true;
         let name = worker.view.life.id.clone();
-        self.actions.push(ExecutionAction::CleanSlate);
-        self.note(ExecutionNote::WorkerReady {
+        self.actions.push(ExecutionAction::StaleRunsStopped);
+        self.log_event(ExecutionLogEvent::WorkerReady {
             worker: name,
             token,
         });
--- a/src/core/execution/lease.rs
+++ b/src/core/execution/lease.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionNote, Executor, HoldCall, run::StartState,
+        ExecutionAction, ExecutionLogEvent, Executor, HoldCall, run::StartState,
         worker_state::ClockReading,
     },
-    crate::core::{link::RunEnd, time::Instant, work::TaskId},
+    crate::core::{link::RunOutcome, time::Instant, work::TaskId},
 };
 
 /// First step by which a token is raised that the worker rejects; doubled each time.
@@ -150,7 +150,7 @@
         worker.renewed_at = None;
         let name = worker.view.life.id.clone();
         let runs = self.lose_all_runs(now, "lease_over");
-        self.note(ExecutionNote::WorkerLost {
+        self.log_event(ExecutionLogEvent::WorkerLost {
             worker: name,
             cause: "no_answer",
             runs,
@@ -163,7 +163,7 @@
         let unresolved: Vec<TaskId> = self.runs.keys().copied().collect();
         // Their worker may have begun them before it fell silent.
         for task in &unresolved {
-            self.end_run_because(now, *task, RunEnd::Lost, cause);
+            self.end_run_because(now, *task, RunOutcome::Lost, cause);
         }
         confirmed + unresolved.len()
     }
@@ -177,7 +177,7 @@
             .map(|(task, _)| *task)
             .collect();
         for task in &confirmed {
-            self.end_run_because(now, *task, RunEnd::Lost, cause);
+            self.end_run_because(now, *task, RunOutcome::Lost, cause);
         }
         confirmed.len()
     }
@@ -187,7 +187,7 @@
         self.token = self.token.saturating_add(self.token_step);
         self.token_step = self.token_step.saturating_mul(2);
         let (worker, token) = (self.worker_name(), self.token);
-        self.note(ExecutionNote::Fenced { worker, token });
+        self.log_event(ExecutionLogEvent::Fenced { worker, token });
     }
 }
 
--- a/src/core/execution/mod.rs
+++ b/src/core/execution/mod.rs
@@ -2,7 +2,7 @@
 
 mod documents;
 mod execution_event;
-mod execution_note;
+mod execution_log_event;
 mod executor;
 mod holds;
 mod lease;
@@ -18,10 +18,10 @@
 
 pub(crate) use {
     execution_event::{
-        ExecutionAction, ExecutionEvent, HoldAnswer, HoldCall, ListedEnd, ListedRun, SessionId,
-        StartAnswer, StartCall, StopCall,
+        ExecutionAction, ExecutionEvent, HoldCall, HoldResponse, ListedEnd, ListedRun, SessionId,
+        StartCall, StartResponse, StopCall,
     },
-    execution_note::ExecutionNote,
+    execution_log_event::ExecutionLogEvent,
     executor::{Executor, ExecutorSettings},
     lease::LEAST_TOKEN_STEP,
 };
--- a/src/core/execution/orders.rs
+++ b/src/core/execution/orders.rs
@@ -2,11 +2,12 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionNote, Executor, SessionId, StartAnswer, StartCall, StopCall,
+        ExecutionAction, ExecutionLogEvent, Executor, SessionId, StartCall, StartResponse,
+        StopCall,
         run::{Run, StartState},
     },
     crate::core::{
-        link::{NotStartedReason, RunEnd, StartOrder},
+        link::{NotStartedReason, RunOutcome, StartOrder},
         time::Instant,
         work::TaskId,
     },
@@ -38,7 +39,11 @@
 
     fn call_start(&mut self, now: Instant, task: TaskId) {
         let Some(lease_until_ms) = self.extend_lease(now) else {
-            self.end_run(now, task, RunEnd::NotStarted(NotStartedReason::NoWorker));
+            self.end_run(
+                now,
+                task,
+                RunOutcome::NotStarted(NotStartedReason::NoWorker),
+            );
             return;
         };
         let (token, worker) = (self.token, self.worker_name());
@@ -77,9 +82,9 @@
         &mut self,
         now: Instant,
         call: &StartCall,
-        answer: StartAnswer,
+        answer: StartResponse,
     ) {
-        if answer != StartAnswer::Unanswered {
+        if answer != StartResponse::Unanswered {
             self.note_worker_answer(now);
         }
         let token = self.token;
@@ -91,28 +96,28 @@
             return;
         }
         match answer {
-            StartAnswer::Accepted => run.start = StartState::Confirmed { at: now },
-            StartAnswer::Unanswered => self.doubt_run(call.task, call.token),
-            StartAnswer::Fenced => {
+            StartResponse::Accepted => run.start = StartState::Confirmed { at: now },
+            StartResponse::Unanswered => self.doubt_run(call.task, call.token),
+            StartResponse::Fenced => {
                 if call.token >= token {
                     self.raise_token();
                 }
                 self.retry_start(now, call.task, NotStartedReason::Rejected);
             }
-            StartAnswer::NumberUsed => {
+            StartResponse::NumberUsed => {
                 run.number = run.number.saturating_add(1);
                 self.retry_start(now, call.task, NotStartedReason::Rejected);
             }
-            StartAnswer::Late => self.retry_start(now, call.task, NotStartedReason::Rejected),
-            StartAnswer::NoRoom => {
+            StartResponse::Late => self.retry_start(now, call.task, NotStartedReason::Rejected),
+            StartResponse::NoRoom => {
                 let (session, needs) = (run.session, run.order.needs);
                 self.note_wish(now, session, needs);
                 self.end_not_started(now, call.task, NotStartedReason::NoRoom);
             }
-            StartAnswer::Unhealthy => {
+            StartResponse::Unhealthy => {
                 self.end_not_started(now, call.task, NotStartedReason::Unhealthy);
             }
-            StartAnswer::Rejected => {
+            StartResponse::Rejected => {
                 self.end_not_started(now, call.task, NotStartedReason::Rejected);
             }
         }
@@ -131,7 +136,7 @@
     }
 
     pub(super) fn end_not_started(&mut self, now: Instant, task: TaskId, reason: NotStartedReason) {
-        self.end_run(now, task, RunEnd::NotStarted(reason));
+        self.end_run(now, task, RunOutcome::NotStarted(reason));
     }
 
     /// Raises the fencing token above that of an order that was not answered.
@@ -153,7 +158,7 @@
             begun,
         };
         let run_id = run.order.run;
-        self.note(ExecutionNote::OrderUnanswered {
+        self.log_event(ExecutionLogEvent::OrderUnanswered {
             job: task.job.to_string(),
             run: run_id.to_string(),
             token,
--- a/src/core/execution/recall.rs
+++ b/src/core/execution/recall.rs
@@ -10,7 +10,7 @@
 
 impl Executor {
     pub(super) fn keep(&mut self, view: WorkerView) {
-        self.actions.push(ExecutionAction::Keep(view));
+        self.actions.push(ExecutionAction::PersistWorker(view));
     }
 
     /// Looks at the worker that an earlier process knew, before it reports to this one.
--- a/src/core/execution/room.rs
+++ b/src/core/execution/room.rs
@@ -3,9 +3,9 @@
 use {
     super::{ExecutionAction, Executor, SessionId},
     crate::core::{
-        link::{AgentFrame, RoomReport},
+        link::{AgentFrame, CapacityReport},
         time::Instant,
-        work::Needs,
+        work::Resources,
     },
 };
 
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Wish {
     /// The least of it.
-    needs: Needs,
+    needs: Resources,
     /// When the entry was last turned away or served.
     renewed_at: Instant,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldRoom {
     /// The newest report.
-    pub(super) reported: Option<RoomReport>,
+    pub(super) reported: Option<CapacityReport>,
     /// When it was made.
     pub(super) reported_at: Instant,
     /// A run of the entry's was ordered, refused or has ended since.
@@ -46,7 +46,7 @@
 
 impl ToldRoom {
     /// Whether the entry waits for room of which there is enough.
-    fn waits_for(&self, free: Needs) -> bool {
+    fn waits_for(&self, free: Resources) -> bool {
         self.wish.is_some_and(|wish| wish.needs.fits(free))
     }
 
@@ -72,7 +72,7 @@
 
 impl Executor {
     /// Notes that an entry has work which found no room.
-    pub(super) fn note_wish(&mut self, now: Instant, session: SessionId, needs: Needs) {
+    pub(super) fn note_wish(&mut self, now: Instant, session: SessionId, needs: Resources) {
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
         };
@@ -113,7 +113,7 @@
     pub(super) fn report_room(&mut self, now: Instant) {
         let free = match self.worker.as_ref() {
             Some(worker) if worker.ready => self.free(),
-            Some(_) | None => Needs::default(),
+            Some(_) | None => Resources::default(),
         };
         self.forget_old_wishes(now);
         self.end_offer(now, free);
@@ -122,8 +122,8 @@
         let entries = u16::try_from(self.sessions.len()).unwrap_or(u16::MAX);
         for (session, link) in &mut self.sessions {
             let waits = link.room.wish.is_some() && offered != Some(*session);
-            let report = RoomReport {
-                free: if waits { Needs::default() } else { free },
+            let report = CapacityReport {
+                free: if waits { Resources::default() } else { free },
                 starts_seen: link.starts_seen,
                 entries,
             };
@@ -144,7 +144,7 @@
     }
 
     /// Ends an offer that was taken up, that can't be any more, or that was left alone.
-    fn end_offer(&mut self, now: Instant, free: Needs) {
+    fn end_offer(&mut self, now: Instant, free: Resources) {
         let Some(offer) = self.offer else {
             return;
         };
@@ -165,7 +165,7 @@
         }
     }
 
-    fn make_offer(&mut self, now: Instant, free: Needs) {
+    fn make_offer(&mut self, now: Instant, free: Resources) {
         if self.offer.is_some() {
             return;
         }
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionNote, Executor, SessionId,
+        ExecutionAction, ExecutionLogEvent, Executor, SessionId,
         room::ToldRoom,
         run::{Run, StopState},
     },
     crate::core::{
-        link::{AgentFrame, EntryFrame, News, NotStartedReason, RunEnd, StartOrder},
+        link::{AgentFrame, EntryFrame, EvacuatedZones, NotStartedReason, RunOutcome, StartOrder},
         time::Instant,
         work::{RunId, TaskId},
     },
@@ -46,17 +46,18 @@
         let is_open = self.sessions.values().any(|link| link.entry == entry);
         let is_clearing = self.clearing.values().any(|earlier| *earlier == entry);
         if is_open || is_clearing {
-            self.note(ExecutionNote::EntryLost {
+            self.log_event(ExecutionLogEvent::EntryLost {
                 entry,
                 cause: "second_session",
                 heard_ms_ago: 0,
                 runs: 0,
             });
             self.actions.push(ExecutionAction::Close { session });
-            self.actions.push(ExecutionAction::Cleared { session });
+            self.actions
+                .push(ExecutionAction::SessionDrained { session });
             return;
         }
-        self.note(ExecutionNote::EntryConnected {
+        self.log_event(ExecutionLogEvent::EntryConnected {
             entry: entry.clone(),
         });
         let link = EntryLink {
@@ -148,11 +149,11 @@
     }
 
     /// Takes in news unless it is older than what is known.
-    fn take_news(&mut self, news: News) {
+    fn take_news(&mut self, news: EvacuatedZones) {
         if !news.is_newer_than(self.news.as_ref()) {
             return;
         }
-        self.note(ExecutionNote::NewsTaken {
+        self.log_event(ExecutionLogEvent::NewsTaken {
             version: news.version,
             evacuated: news.evacuated.iter().cloned().collect(),
         });
@@ -176,7 +177,7 @@
     }
 
     pub(super) fn refuse(&mut self, session: SessionId, run: RunId, reason: NotStartedReason) {
-        self.note(ExecutionNote::RunNotStarted {
+        self.log_event(ExecutionLogEvent::RunNotStarted {
             job: run.task.job.to_string(),
             run: run.to_string(),
             reason: reason.as_str(),
@@ -184,7 +185,7 @@
         });
         let frame = AgentFrame::Ended {
             run,
-            end: RunEnd::NotStarted(reason),
+            end: RunOutcome::NotStarted(reason),
             ran_ms: 0,
         };
         self.send(session, frame);
@@ -257,7 +258,7 @@
         };
         self.document.lose_peer(session);
         let tasks = self.tasks_of(session);
-        self.note(ExecutionNote::EntryLost {
+        self.log_event(ExecutionLogEvent::EntryLost {
             entry: link.entry.clone(),
             cause,
             heard_ms_ago: now.millis_since(link.heard_at),
@@ -300,7 +301,8 @@
         let clear: Vec<SessionId> = self.clearing.keys().copied().filter(is_clear).collect();
         for session in clear {
             self.clearing.remove(&session);
-            self.actions.push(ExecutionAction::Cleared { session });
+            self.actions
+                .push(ExecutionAction::SessionDrained { session });
         }
     }
 
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionEvent, Executor, ExecutorSettings, HoldAnswer, HoldCall,
-        ListedEnd, ListedRun, SessionId, StartAnswer, StartCall,
+        ExecutionAction, ExecutionEvent, Executor, ExecutorSettings, HoldCall, HoldResponse,
+        ListedEnd, ListedRun, SessionId, StartCall, StartResponse,
     },
     crate::core::{
-        link::{AgentFrame, EntryFrame, News, NotStartedReason, RunEnd, StartOrder},
+        link::{AgentFrame, EntryFrame, EvacuatedZones, NotStartedReason, RunOutcome, StartOrder},
         time::Instant,
-        work::{JobId, Needs, RunId, RunLimits, TaskId, WorkerLife, WorkerView},
+        work::{JobId, Resources, RunId, RunLimits, TaskId, WorkerIncarnation, WorkerView},
     },
     std::{collections::BTreeSet, sync::Arc},
 };
@@ -30,15 +30,15 @@
 
 fn view(born_unix_ms: u64, draining: bool) -> WorkerView {
     WorkerView {
-        life: WorkerLife {
+        life: WorkerIncarnation {
             id: "w".to_owned(),
             born_unix_ms,
         },
         service: "shares".to_owned(),
         availability_zone: "north".to_owned(),
-        capacity: Needs {
+        capacity: Resources {
             cpu_milli: 2_000,
-            ..Needs::default()
+            ..Resources::default()
         },
         labels: Vec::new(),
         draining,
@@ -60,9 +60,9 @@
     StartOrder {
         run: run(job),
         spec: Arc::from("spec"),
-        needs: Needs {
+        needs: Resources {
             cpu_milli: 1_000,
-            ..Needs::default()
+            ..Resources::default()
         },
         time_left_ms: 5_000,
     }
@@ -140,7 +140,7 @@
 
     /// The lists as the worker made them when its clock showed this time.
     fn lists_at(&mut self, clock_ms: u64, call: HoldCall, running: &[RunId], ended: &[ListedEnd]) {
-        let answer = HoldAnswer::Lists {
+        let answer = HoldResponse::Lists {
             born_unix_ms: Some(BORN_MS),
             clock_ms,
             running: running
@@ -179,7 +179,7 @@
     }
 
     /// How runs ended, as the entry was told.
-    fn ends(&self) -> Vec<RunEnd> {
+    fn ends(&self) -> Vec<RunOutcome> {
         let ends = self.actions.iter().filter_map(|action| match action {
             ExecutionAction::Send {
                 frame: AgentFrame::Ended { end, .. },
@@ -191,7 +191,7 @@
     }
 
     /// Starts a task and lets the worker answer so.
-    fn start(&mut self, job: u64, answer: StartAnswer) {
+    fn start(&mut self, job: u64, answer: StartResponse) {
         self.frame(EntryFrame::Start(order(job)));
         let call = self.starts().remove(0);
         self.feed(ExecutionEvent::StartAnswered { call, answer });
@@ -208,7 +208,7 @@
                 let prepare: fn(&mut Bench) = $prepare;
                 prepare(&mut bench);
                 bench.frame(EntryFrame::Start(order(1)));
-                assert_eq!(bench.ends(), [RunEnd::NotStarted(NotStartedReason::$reason)]);
+                assert_eq!(bench.ends(), [RunOutcome::NotStarted(NotStartedReason::$reason)]);
                 assert!(bench.starts().is_empty());
             }
         )+
@@ -218,19 +218,19 @@
 refusal_cases! {
     /// A worker says that it ends. From the moment at which that is acknowledged it is given nothing.
     a_draining_worker_is_given_nothing: |bench| bench.heartbeat(BORN_MS, 2, true) => Draining;
-    a_zone_that_is_out_is_given_nothing: |bench| bench.frame(EntryFrame::News(News {
+    a_zone_that_is_out_is_given_nothing: |bench| bench.frame(EntryFrame::News(EvacuatedZones {
         version: 7,
         evacuated: BTreeSet::from(["north".to_owned()]),
     })) => Evacuated;
-    a_task_has_one_run_at_a_time: |bench| bench.start(1, StartAnswer::Accepted) => TaskBusy;
+    a_task_has_one_run_at_a_time: |bench| bench.start(1, StartResponse::Accepted) => TaskBusy;
     what_does_not_fit_is_refused: |bench| {
-        bench.start(2, StartAnswer::Accepted);
-        bench.start(3, StartAnswer::Accepted);
+        bench.start(2, StartResponse::Accepted);
+        bench.start(3, StartResponse::Accepted);
     } => NoRoom;
     an_entry_without_a_fresh_echo_starts_nothing: |bench| {
         bench.now = bench.now.plus_ms(limits().silence_ms);
     } => RightLapsed;
-    a_process_that_is_to_end_starts_nothing: |bench| bench.feed(ExecutionEvent::Leave) => Draining;
+    a_process_that_is_to_end_starts_nothing: |bench| bench.feed(ExecutionEvent::Shutdown) => Draining;
 }
 
 /// Requests for the document after beats that name the agent as a holder, or not, 200 ms apart.
@@ -283,7 +283,7 @@
 #[test]
 fn a_silent_entry_loses_its_runs() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     let mut stops = Vec::new();
     for _ in 0..limits().silence_ms / 15 {
         bench.tick_after(15);
@@ -321,8 +321,8 @@
 /// A worker of two slots that is full, and two more entries that were turned away.
 fn full_worker_with_two_waiting() -> Bench {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
-    bench.start(2, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
+    bench.start(2, StartResponse::Accepted);
     for session in [SessionId(2), SessionId(3)] {
         let entry = format!("entry-{}", session.0);
         bench.feed(ExecutionEvent::SessionOpened { session, entry });
@@ -368,7 +368,7 @@
         sequence: job,
         task: run(job).task,
         number: 1,
-        end: RunEnd::Done,
+        end: RunOutcome::Done,
     }
 }
 
@@ -428,7 +428,7 @@
 #[test]
 fn an_entry_has_one_session_at_a_time() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     let second = SessionId(2);
     let opens = || ExecutionEvent::SessionOpened {
         session: second,
@@ -455,17 +455,17 @@
 #[test]
 fn lists_that_were_overtaken_tell_no_stray_runs() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     bench.tick_after(120);
     let earlier = bench.holds().remove(0);
     let ended = ListedEnd {
         sequence: 1,
         task: run(1).task,
         number: 1,
-        end: RunEnd::Done,
+        end: RunOutcome::Done,
     };
     bench.lists_at(1_121, earlier.clone(), &[], &[ended]);
-    assert_eq!(bench.ends(), [RunEnd::Done]);
+    assert_eq!(bench.ends(), [RunOutcome::Done]);
     bench.lists_at(1_120, earlier.clone(), &[run(1)], &[]);
     assert_eq!(bench.stops(), 0);
     // A list that is as new tells of a run that really goes on.
@@ -488,7 +488,7 @@
     bench.frame(EntryFrame::Start(order(1)));
     assert_eq!(
         bench.ends(),
-        [RunEnd::NotStarted(NotStartedReason::RightLapsed)]
+        [RunOutcome::NotStarted(NotStartedReason::RightLapsed)]
     );
 }
 
@@ -497,21 +497,21 @@
 #[test]
 fn an_unanswered_start_is_settled_under_a_higher_token() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Unanswered);
+    bench.start(1, StartResponse::Unanswered);
     assert!(bench.ends().is_empty());
     let look = bench.holds().remove(0);
     assert_eq!(look.token, 101);
     bench.lists(look, &[], &[]);
     assert_eq!(
         bench.ends(),
-        [RunEnd::NotStarted(NotStartedReason::OrderLost)]
+        [RunOutcome::NotStarted(NotStartedReason::OrderLost)]
     );
 }
 
 #[test]
 fn an_unanswered_start_that_is_listed_goes_on() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Unanswered);
+    bench.start(1, StartResponse::Unanswered);
     let look = bench.holds().remove(0);
     bench.lists(look, &[run(1)], &[]);
     assert!(bench.ends().is_empty());
@@ -522,7 +522,7 @@
 #[test]
 fn a_used_number_is_raised() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::NumberUsed);
+    bench.start(1, StartResponse::NumberUsed);
     assert_eq!(bench.starts()[0].number, 2);
 }
 
@@ -532,12 +532,12 @@
 #[test]
 fn a_worker_that_is_recalled_is_used_before_it_reports() {
     let mut bench = Bench::without_worker();
-    bench.feed(ExecutionEvent::Recalled {
+    bench.feed(ExecutionEvent::WorkerRestored {
         view: view(BORN_MS, false),
     });
     let look = bench.holds().remove(0);
     bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::CleanSlate));
+    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
     bench.open_session();
     bench.beat();
     bench.frame(EntryFrame::Start(order(1)));
@@ -564,17 +564,17 @@
 #[test]
 fn a_recalled_worker_that_is_gone_is_not_offered() {
     let mut bench = Bench::without_worker();
-    bench.feed(ExecutionEvent::Recalled {
+    bench.feed(ExecutionEvent::WorkerRestored {
         view: view(BORN_MS - 1, false),
     });
     let call = bench.holds().remove(0);
-    let answer = HoldAnswer::OtherWorker;
+    let answer = HoldResponse::OtherWorker;
     bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-    assert!(!bench.actions.contains(&ExecutionAction::CleanSlate));
+    assert!(!bench.actions.contains(&ExecutionAction::StaleRunsStopped));
     bench.heartbeat(BORN_MS, 1, false);
     let look = bench.holds().remove(0);
     bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::CleanSlate));
+    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
 /// What the worker says of itself is kept when it changes, not with each report.
@@ -583,7 +583,7 @@
     let mut bench = Bench::ready();
     let is_kept = |bench: &Bench| {
         let mut actions = bench.actions.iter();
-        actions.any(|action| matches!(action, ExecutionAction::Keep(_)))
+        actions.any(|action| matches!(action, ExecutionAction::PersistWorker(_)))
     };
     bench.heartbeat(BORN_MS, 2, false);
     assert!(!is_kept(&bench));
@@ -605,11 +605,11 @@
     let look = bench.holds().remove(0);
     bench.lists(look, &[run(8)], &[]);
     assert_eq!(bench.stops(), 1);
-    assert!(!bench.actions.contains(&ExecutionAction::CleanSlate));
+    assert!(!bench.actions.contains(&ExecutionAction::StaleRunsStopped));
     bench.tick_after(100);
     let look = bench.holds().remove(0);
     bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::CleanSlate));
+    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
 /// A worker begins anew under its name and takes a start; its report of that comes late. The run is not
@@ -617,11 +617,11 @@
 #[test]
 fn a_run_in_a_life_that_is_told_of_late_goes_on() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     bench.heartbeat(BORN_MS + 500, 1, false);
     assert!(bench.ends().is_empty());
     let call = bench.holds().remove(0);
-    let answer = HoldAnswer::Lists {
+    let answer = HoldResponse::Lists {
         born_unix_ms: Some(BORN_MS + 500),
         clock_ms: 40,
         running: vec![ListedRun {
@@ -640,7 +640,7 @@
 fn a_late_report_of_an_earlier_life_changes_nothing() {
     let mut bench = Bench::ready();
     bench.heartbeat(BORN_MS - 1, 99, true);
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     assert!(bench.ends().is_empty());
 }
 
@@ -656,7 +656,7 @@
     for _ in 0..100 {
         while let Some(call) = waiting.pop().filter(|_| calls < 1_000) {
             calls += 1;
-            let answer = HoldAnswer::Unanswered;
+            let answer = HoldResponse::Unanswered;
             bench.feed(ExecutionEvent::HoldAnswered { call, answer });
             waiting.extend(bench.holds());
         }
@@ -672,21 +672,21 @@
 #[test]
 fn runs_of_a_silent_worker_are_lost_with_its_lease() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     let mut waited_ms = 0;
     while bench.ends().is_empty() {
         bench.tick_after(20);
         bench.beat_quietly();
         waited_ms += 20;
         for call in bench.holds() {
-            let answer = HoldAnswer::Unanswered;
+            let answer = HoldResponse::Unanswered;
             let kept = std::mem::take(&mut bench.actions);
             bench.feed(ExecutionEvent::HoldAnswered { call, answer });
             bench.actions.extend(kept);
         }
         assert!(waited_ms < 2_000);
     }
-    assert_eq!(bench.ends(), [RunEnd::Lost]);
+    assert_eq!(bench.ends(), [RunOutcome::Lost]);
     assert!(waited_ms >= 2 * limits().lease_ms - 100, "{waited_ms}");
 }
 
@@ -702,17 +702,17 @@
 #[test]
 fn an_end_is_told_once() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Accepted);
+    bench.start(1, StartResponse::Accepted);
     let end = ListedEnd {
         sequence: 1,
         task: run(1).task,
         number: 1,
-        end: RunEnd::Done,
+        end: RunOutcome::Done,
     };
     bench.tick_after(150);
     let look = bench.holds().remove(0);
     bench.lists(look.clone(), &[], &[end]);
-    assert_eq!(bench.ends(), [RunEnd::Done]);
+    assert_eq!(bench.ends(), [RunOutcome::Done]);
     bench.lists(look, &[], &[end]);
     assert!(bench.ends().is_empty());
 }
@@ -725,21 +725,21 @@
     bench.frame(EntryFrame::Start(order(1)));
     bench.heartbeat(BORN_MS + 500, 1, false);
     let call = bench.holds().remove(0);
-    let answer = HoldAnswer::Lists {
+    let answer = HoldResponse::Lists {
         born_unix_ms: Some(BORN_MS + 500),
         clock_ms: 40,
         running: Vec::new(),
         ended: Vec::new(),
     };
     bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-    assert_eq!(bench.ends(), [RunEnd::Lost]);
+    assert_eq!(bench.ends(), [RunOutcome::Lost]);
 }
 
 /// The same where the worker stays silent until its lease is over.
 #[test]
 fn an_order_to_a_worker_that_fell_silent_may_have_run() {
     let mut bench = Bench::ready();
-    bench.start(1, StartAnswer::Unanswered);
+    bench.start(1, StartResponse::Unanswered);
     for _ in 0..100 {
         if !bench.ends().is_empty() {
             break;
@@ -747,5 +747,5 @@
         bench.tick_after(20);
         bench.beat_quietly();
     }
-    assert_eq!(bench.ends(), [RunEnd::Lost]);
+    assert_eq!(bench.ends(), [RunOutcome::Lost]);
 }
--- a/src/core/home/dispatch.rs
+++ b/src/core/home/dispatch.rs
@@ -46,7 +46,7 @@
             .filter(|action| action.is_start())
             .count();
         let waiting = self.update_demands(now);
-        self.admission.note(now, starts, waiting);
+        self.admission.record_starts(now, starts, waiting);
     }
 
     /// Starts queued tasks, oldest job first, while placement finds runners for them.
--- a/src/core/home/home.rs
+++ b/src/core/home/home.rs
@@ -152,7 +152,7 @@
                 frame,
             } => self.on_frame(now, runner, epoch, frame),
             HomeEvent::SessionLost { runner, epoch } => self.on_session_lost(now, runner, epoch),
-            HomeEvent::Leave => self.leaving = true,
+            HomeEvent::Shutdown => self.leaving = true,
             HomeEvent::Tick => self.on_tick(now),
         }
         self.open_sessions(now);
--- a/src/core/home/home_event.rs
+++ b/src/core/home/home_event.rs
@@ -69,7 +69,7 @@
         epoch: u64,
     },
     /// The process is asked to stop: no new jobs.
-    Leave,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
--- a/src/core/home/intake.rs
+++ b/src/core/home/intake.rs
@@ -9,8 +9,8 @@
         ticket_ring::{JobKey, TicketState},
     },
     crate::core::{
-        admission::{Offer, Overload},
-        ejection::TaskEnd,
+        admission::{AdmissionRequest, Overload},
+        ejection::HealthSample,
         job::{JobSpec, TaskOutcome},
         message::Candidate,
         ticket::{AgentId, Ticket},
@@ -70,7 +70,7 @@
                 return;
             };
             // Slow runners must not teach what is slow.
-            if end != TaskEnd::Failed && self.is_trusted(now, runner) {
+            if end != HealthSample::Failed && self.is_trusted(now, runner) {
                 self.run_times.record(service, ran_ms);
             }
             self.note_end(now, runner, end);
@@ -85,16 +85,16 @@
 
     /// Leaves a runner alone whose tasks end badly, unless most others are left alone already:
     /// then the tasks are at fault, or something that they share.
-    fn note_end(&mut self, now: Instant, runner: AgentId, end: TaskEnd) {
+    fn note_end(&mut self, now: Instant, runner: AgentId, end: HealthSample) {
         let alone = self
             .links
             .values()
-            .filter(|link| link.health.is_left_alone(now))
+            .filter(|link| link.health.is_ejected(now))
             .count();
         let may_eject = (alone + 1) * LEFT_ALONE_SHARE <= self.links.len();
         if let Some(link) = self.links.get_mut(&runner)
-            && (may_eject || end == TaskEnd::Good)
-            && let Some(reason) = link.health.note(now, end)
+            && (may_eject || end == HealthSample::Good)
+            && let Some(reason) = link.health.record(now, end)
         {
             self.actions.push(HomeAction::CountEjection(reason));
         }
@@ -112,14 +112,14 @@
         }
         let declared_ms = spec.tasks.iter().map(|task| task.declared_run_ms).min();
         let declared_ms = u64::from(declared_ms.unwrap_or(0));
-        let offer = Offer {
+        let offer = AdmissionRequest {
             waiting: self.waiting_count(),
             oldest_wait_ms: self.oldest_wait_ms(now),
             tasks: spec.tasks.len(),
             deadline_ms: spec.deadline_ms,
             run_ms: self.run_times.expected_ms(&spec.service, declared_ms),
         };
-        self.admission.judge(offer).map_err(Turndown::Overload)
+        self.admission.decide(offer).map_err(Turndown::Overload)
     }
 
     /// Begins a job under a ticket that was not used before.
@@ -220,19 +220,19 @@
 }
 
 /// What a task's end says about its runner, if it says anything.
-fn task_end(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<TaskEnd> {
+fn task_end(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
     match outcome {
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
-            Some(TaskEnd::Slow)
+            Some(HealthSample::Slow)
         }
-        TaskOutcome::Done { .. } => Some(TaskEnd::Good),
+        TaskOutcome::Done { .. } => Some(HealthSample::Good),
         TaskOutcome::Failed { .. }
         | TaskOutcome::MayHaveRun {
             reason: MayHaveRunReason::BackendLost,
         }
         | TaskOutcome::NotRun {
             reason: NotRunReason::BackendDown | NotRunReason::BackendRefused,
-        } => Some(TaskEnd::Failed),
+        } => Some(HealthSample::Failed),
         TaskOutcome::NotRun { .. } | TaskOutcome::MayHaveRun { .. } => None,
     }
 }
--- a/src/core/home/tests/interleavings.rs
+++ b/src/core/home/tests/interleavings.rs
@@ -161,7 +161,7 @@
         .entry(ticket)
         .or_insert_with(|| Arc::clone(answer));
     prop_assert_eq!(&*first, answer, "one job, one answer");
-    prop_assert!(answer.is_whole(&ticket, spec_of(number).tasks.len()));
+    prop_assert!(answer.is_complete(&ticket, spec_of(number).tasks.len()));
     let all_done = answer
         .outcomes
         .iter()
--- a/src/core/job/job_answer.rs
+++ b/src/core/job/job_answer.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether this is the whole answer to that ticket with that many tasks.
-    pub(crate) fn is_whole(&self, ticket: &TicketId, task_count: usize) -> bool {
+    pub(crate) fn is_complete(&self, ticket: &TicketId, task_count: usize) -> bool {
         self.ticket == *ticket
             && self.outcomes.len() == task_count
             && self.digest == digest(ticket, &self.outcomes)
--- a/src/core/link/agent_frame.rs
+++ b/src/core/link/agent_frame.rs
@@ -1,11 +1,11 @@
 //! Frames from an agent to an entry.
 
 use {
-    super::News,
+    super::EvacuatedZones,
     crate::core::{
         document::{DocumentPart, PartRequest},
         verdict::reasons,
-        work::{Needs, RunId, WorkerView},
+        work::{Resources, RunId, WorkerView},
     },
     serde::{Deserialize, Serialize},
 };
@@ -36,7 +36,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum RunEnd {
+pub(crate) enum RunOutcome {
     /// The task is done.
     Done,
     /// The task or its worker failed.
@@ -49,7 +49,7 @@
     NotStarted(NotStartedReason),
 }
 
-impl RunEnd {
+impl RunOutcome {
     /// The end's name in logs and counters.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
@@ -64,9 +64,9 @@
 
 /// What is free on a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct RoomReport {
+pub(crate) struct CapacityReport {
     /// What is free.
-    pub(crate) free: Needs,
+    pub(crate) free: Resources,
     /// Start orders of this session that the figure takes account of.
     pub(crate) starts_seen: u32,
     /// Entries that have a session with the agent and may order there, too.
@@ -93,18 +93,18 @@
     /// The worker beside the agent, if it can take tasks.
     Worker(Option<WorkerView>),
     /// What is free on it.
-    Room(RoomReport),
+    Room(CapacityReport),
     /// A run is over.
     Ended {
         /// The run.
         run: RunId,
         /// How it ended.
-        end: RunEnd,
+        end: RunOutcome,
         /// For how long it ran.
         ran_ms: u64,
     },
     /// What operators have set, for an entry that goes by older news.
-    News(News),
+    News(EvacuatedZones),
     /// Asks the entry for a part of its document.
     FetchDocument(PartRequest),
     /// A part of the agent's document that the entry has asked for.
--- a/src/core/link/entry_frame.rs
+++ b/src/core/link/entry_frame.rs
@@ -1,10 +1,10 @@
 //! Frames from an entry to an agent.
 
 use {
-    super::News,
+    super::EvacuatedZones,
     crate::core::{
         document::{DocumentPart, PartRequest},
-        work::{Needs, RunId},
+        work::{Resources, RunId},
     },
     serde::{Deserialize, Serialize},
     std::sync::Arc,
@@ -18,7 +18,7 @@
     /// The job's text for the worker.
     pub(crate) spec: Arc<str>,
     /// What the task takes up.
-    pub(crate) needs: Needs,
+    pub(crate) needs: Resources,
     /// Time until nobody waits for the job any more; the agent stops the run then.
     pub(crate) time_left_ms: u64,
 }
@@ -47,7 +47,7 @@
     /// The room that was offered is not needed: the tasks that waited for it run elsewhere or were given up.
     Decline,
     /// What operators have set.
-    News(News),
+    News(EvacuatedZones),
     /// Asks the agent for a part of its document.
     FetchDocument(PartRequest),
     /// A part of the entry's document that the agent has asked for.
--- a/src/core/link/mod.rs
+++ b/src/core/link/mod.rs
@@ -5,10 +5,10 @@
 
 mod agent_frame;
 mod entry_frame;
-mod news;
+mod evacuated_zones;
 
 pub(crate) use {
-    agent_frame::{AgentFrame, NotStartedReason, RoomReport, RunEnd},
+    agent_frame::{AgentFrame, CapacityReport, NotStartedReason, RunOutcome},
     entry_frame::{EntryFrame, StartOrder},
-    news::News,
+    evacuated_zones::EvacuatedZones,
 };
--- a/src/core/message/digest.rs
+++ b/src/core/message/digest.rs
@@ -47,7 +47,7 @@
 
 /// A sign of life of an agent that was reported in full before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct AgentBeat {
+pub(crate) struct AgentHeartbeat {
     /// The sender's short number for the agent.
     pub(crate) index: u32,
     /// Slots free when it last announced.
@@ -66,7 +66,7 @@
     /// Agents that are new to the receiver or said something new.
     pub(crate) reports: Vec<AgentReport>,
     /// All other agents that the sender heard since the last digest.
-    pub(crate) beats: Vec<AgentBeat>,
+    pub(crate) beats: Vec<AgentHeartbeat>,
 }
 
 /// The receiver's answer.
--- a/src/core/message/mod.rs
+++ b/src/core/message/mod.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use {
     announcement::{Announcement, AnnouncementReply, PeerEntry, roster_digest},
-    digest::{AgentBeat, AgentReport, Closing, Digest, DigestReply, GateNotice, GateStatus},
+    digest::{AgentHeartbeat, AgentReport, Closing, Digest, DigestReply, GateNotice, GateStatus},
     peer_call::{Candidate, PeerReply, PeerRequest, Submission},
     session_frame::{FreeSlots, HomeFrame, RunnerFrame, StartFrame, StatusReport, TaskStatus},
 };
--- a/src/core/roster/mod.rs
+++ b/src/core/roster/mod.rs
@@ -9,6 +9,6 @@
 
 pub(crate) use {
     entry_choice::EntryChoice,
-    roster::{Roster, Survey},
+    roster::{Roster, RosterScan},
     roster_row::{ROSTER_PREFIX, RosterRow, beat_key, entry_key},
 };
--- a/src/core/roster/roster.rs
+++ b/src/core/roster/roster.rs
@@ -23,7 +23,7 @@
 
 /// What a reading of all rows showed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Survey {
+pub(crate) struct RosterScan {
     /// Whether this entry's own row stands.
     pub(crate) own_row_stands: bool,
     /// Entries whose rows are to be removed, with the version of the beat row last seen.
@@ -43,13 +43,13 @@
     /// Rows of others go when their beat has stood still for longer than they may grant
     /// permits without the platform, or at once when they name this entry's own address: the
     /// process that listened there must be gone, as this one does now.
-    pub(crate) fn survey(
+    pub(crate) fn apply_scan(
         &mut self,
         now: Instant,
         me: &PeerEntry,
         rows: Vec<RosterRow>,
         beats: &BTreeMap<String, u64>,
-    ) -> Survey {
+    ) -> RosterScan {
         let is_late = self
             .surveyed_at
             .is_none_or(|at| now.millis_since(at) >= SURVEY_GAP_MS);
@@ -71,7 +71,7 @@
             listed.insert(entry, known);
         }
         self.listed = listed;
-        Survey {
+        RosterScan {
             own_row_stands: self.listed.contains_key(&me.entry),
             gone: self.gone(now, me),
         }
@@ -105,7 +105,7 @@
     }
 
     /// An entry made itself known before its row was read.
-    pub(crate) fn meet(&mut self, now: Instant, entry: PeerEntry, outage_limit_ms: u64) {
+    pub(crate) fn add_announced(&mut self, now: Instant, entry: PeerEntry, outage_limit_ms: u64) {
         self.listed.entry(entry.entry).or_insert(Listed {
             row: RosterRow {
                 entry,
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -35,7 +35,7 @@
         entry,
         outage_limit_ms: OUTAGE_LIMIT_MS,
     });
-    let survey = roster.survey(Instant::from_millis(at_ms), &me, rows.into(), &versions);
+    let survey = roster.apply_scan(Instant::from_millis(at_ms), &me, rows.into(), &versions);
     let gone = survey.gone.iter().map(|(entry, _)| entry.0).collect();
     (survey.own_row_stands, gone)
 }
--- a/src/core/runner/runner.rs
+++ b/src/core/runner/runner.rs
@@ -111,7 +111,7 @@
                 self.services.clear();
                 Vec::new()
             }
-            RunnerEvent::Leave => {
+            RunnerEvent::Shutdown => {
                 self.leaving = true;
                 Vec::new()
             }
--- a/src/core/runner/runner_event.rs
+++ b/src/core/runner/runner_event.rs
@@ -42,7 +42,7 @@
     /// The backend server is silent, or said that it leaves.
     BackendGone,
     /// The process is asked to stop: no new work.
-    Leave,
+    Shutdown,
     /// An entry answered an announcement.
     PermitRenewed {
         /// When the announcement was sent.
--- a/src/core/runner/tests.rs
+++ b/src/core/runner/tests.rs
@@ -154,7 +154,7 @@
 
 refusal_cases! {
     a_full_runner_refuses: None::<RunnerEvent> => SlotsFull;
-    a_leaving_runner_refuses: Some(RunnerEvent::Leave) => Leaving;
+    a_leaving_runner_refuses: Some(RunnerEvent::Shutdown) => Leaving;
     a_runner_without_backend_server_refuses: Some(RunnerEvent::BackendGone) => BackendDown;
     a_runner_in_a_closed_zone_refuses: Some(RunnerEvent::PermitRenewed {
         sent_at: at(0),
--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -10,18 +10,18 @@
     },
     crate::core::{
         dispatch::{
-            Answer, DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, LinkId,
+            DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, JobOutcome, LinkId,
             Submission, WaiterId,
         },
         document::Document,
         execution::{
-            ExecutionAction, ExecutionEvent, Executor, ExecutorSettings, HoldAnswer, SessionId,
-            StartAnswer,
+            ExecutionAction, ExecutionEvent, Executor, ExecutorSettings, HoldResponse, SessionId,
+            StartResponse,
         },
-        link::{AgentFrame, EntryFrame, News, RunEnd},
+        link::{AgentFrame, EntryFrame, EvacuatedZones, RunOutcome},
         routes::Route,
         time::Instant,
-        work::{JobId, JobRequest, Needs, RunLimits, StepSpec, WorkerView},
+        work::{JobId, JobRequest, Resources, RunLimits, StepSpec, WorkerView},
     },
     crate::standin::WorkerModel,
     std::{
@@ -124,7 +124,7 @@
     ClientAnswer {
         client: usize,
         call: (usize, u64, u64),
-        answer: Answer,
+        answer: JobOutcome,
     },
     ClientBreak {
         client: usize,
@@ -182,7 +182,7 @@
     clients: Vec<ClientModel>,
     waiters: BTreeMap<(usize, u64, u64), usize>,
     last_waiter: u64,
-    news: News,
+    news: EvacuatedZones,
     evacuated_at: Option<Instant>,
     pub(super) checks: Checks,
 }
@@ -209,7 +209,7 @@
             clients: Vec::new(),
             waiters: BTreeMap::new(),
             last_waiter: 0,
-            news: News {
+            news: EvacuatedZones {
                 version: 1,
                 evacuated: BTreeSet::new(),
             },
@@ -418,7 +418,7 @@
         let life = process.life;
         self.at_ms(TICK_MS, Event::EntryTick { entry, life });
         let news = self.news.clone();
-        self.feed_entry(entry, DispatchEvent::News(news));
+        self.feed_entry(entry, DispatchEvent::EvacuatedZones(news));
         let document = Document {
             revision: 1,
             text: Arc::from(&b"{}"[..]),
@@ -450,7 +450,7 @@
                     self.at(at, Event::LostAtAgent { link: link.0 });
                 }
             }
-            DispatchAction::Answer { waiter, answer } => {
+            DispatchAction::Reply { waiter, answer } => {
                 let call = (entry, life, waiter.0);
                 if let Some(client) = self.waiters.remove(&call) {
                     self.soon(Event::ClientAnswer {
@@ -460,11 +460,13 @@
                     });
                 }
             }
-            DispatchAction::TakeNews(news) => self.feed_entry(entry, DispatchEvent::News(news)),
+            DispatchAction::ApplyEvacuatedZones(news) => {
+                self.feed_entry(entry, DispatchEvent::EvacuatedZones(news))
+            }
             DispatchAction::TakeDocument(document) => {
                 self.feed_entry(entry, DispatchEvent::Document(document));
             }
-            DispatchAction::Note(note) => self.trace(format!("entry {entry}: {note:?}")),
+            DispatchAction::Log(note) => self.trace(format!("entry {entry}: {note:?}")),
         }
     }
 
@@ -546,7 +548,7 @@
         self.dialled[agent] = false;
         self.at_ms(lapse_ms, Event::DialFirst { agent, life });
         if let Some(view) = self.kept_workers.get(&agent).cloned() {
-            let event = ExecutionEvent::Recalled { view };
+            let event = ExecutionEvent::WorkerRestored { view };
             self.at_ms(RECALL_MS, Event::Answered { agent, life, event });
         }
     }
@@ -662,17 +664,17 @@
                     self.at(at, Event::LostAtEntry { link: session.0 });
                 }
             }
-            ExecutionAction::Cleared { session } => {
+            ExecutionAction::SessionDrained { session } => {
                 if let Some(model) = self.links.get(&session.0) {
                     let (entry, life) = (model.entry, model.lives.1);
                     self.at_ms(20, Event::Dial { entry, agent, life });
                 }
             }
-            ExecutionAction::CleanSlate => self.dial_first(agent),
-            ExecutionAction::Keep(view) => {
+            ExecutionAction::StaleRunsStopped => self.dial_first(agent),
+            ExecutionAction::PersistWorker(view) => {
                 self.kept_workers.insert(agent, view);
             }
-            ExecutionAction::Note(note) => self.trace(format!("agent {agent}: {note:?}")),
+            ExecutionAction::Log(note) => self.trace(format!("agent {agent}: {note:?}")),
             ExecutionAction::Start(_) | ExecutionAction::Stop(_) | ExecutionAction::Hold(_) => {
                 self.call_worker(agent, action);
             }
@@ -754,7 +756,7 @@
                     let answer = if call.worker == self.workers[worker].life.id {
                         self.workers[worker].hold(now, &call)
                     } else {
-                        HoldAnswer::OtherWorker
+                        HoldResponse::OtherWorker
                     };
                     ExecutionEvent::HoldAnswered { call, answer }
                 }
@@ -776,9 +778,9 @@
         &mut self,
         worker: usize,
         call: &crate::core::execution::StartCall,
-    ) -> StartAnswer {
+    ) -> StartResponse {
         if call.worker != self.workers[worker].life.id {
-            return StartAnswer::Rejected;
+            return StartResponse::Rejected;
         }
         let now = self.now;
         let run_ms = self
@@ -787,9 +789,9 @@
             .find(|client| client.job == call.task.job)
             .map_or(100, |client| client.run_ms);
         let how = if self.chance.percent(3) {
-            RunEnd::Failed
+            RunOutcome::Failed
         } else {
-            RunEnd::Done
+            RunOutcome::Done
         };
         let (answer, begun) = self.workers[worker].start(now, call, run_ms, how);
         if begun {
@@ -844,9 +846,9 @@
             life: model.life.clone(),
             service: "shares".to_owned(),
             availability_zone: ZONES[worker % ZONES.len()].to_owned(),
-            capacity: Needs {
+            capacity: Resources {
                 cpu_milli: 1_000 * ROOM as u32,
-                ..Needs::default()
+                ..Resources::default()
             },
             labels: Vec::new(),
             draining: model.draining,
@@ -920,7 +922,7 @@
         self.wake_and_feed(call, DispatchEvent::Submit(submission));
     }
 
-    fn answer_client(&mut self, client: usize, call: (usize, u64, u64), answer: Answer) {
+    fn answer_client(&mut self, client: usize, call: (usize, u64, u64), answer: JobOutcome) {
         if self.clients[client].call != Some(call) {
             return;
         }
@@ -931,12 +933,12 @@
         model.call = None;
         model.heard = true;
         match answer {
-            Answer::Completed => {
+            JobOutcome::Completed => {
                 model.ended = true;
                 self.check_complete(client);
             }
-            Answer::Failed => model.ended = true,
-            Answer::NotRun { retry_after_ms, .. } => {
+            JobOutcome::Failed => model.ended = true,
+            JobOutcome::NotRun { retry_after_ms, .. } => {
                 model.not_run += 1;
                 model.ended = retry_after_ms == 0;
                 let (job, refused_only) = (model.job, model.was_only_refused());
@@ -947,7 +949,7 @@
                 // It comes back when it was told to, if its patience lasts.
                 self.at_ms(retry_after_ms, Event::Submit { client });
             }
-            Answer::GivenUp(_) => self.at_ms(RESEND_MS, Event::Submit { client }),
+            JobOutcome::GivenUp(_) => self.at_ms(RESEND_MS, Event::Submit { client }),
         }
     }
 
@@ -1129,7 +1131,7 @@
         for entry in 0..ENTRIES {
             let news = self.news.clone();
             if self.entries[entry].suspended_until <= self.now {
-                self.feed_entry(entry, DispatchEvent::News(news));
+                self.feed_entry(entry, DispatchEvent::EvacuatedZones(news));
             }
         }
     }
@@ -1193,7 +1195,7 @@
     match action.clone_call() {
         ExecutionAction::Start(call) => ExecutionEvent::StartAnswered {
             call,
-            answer: StartAnswer::Unanswered,
+            answer: StartResponse::Unanswered,
         },
         ExecutionAction::Stop(call) => ExecutionEvent::StopAnswered {
             call,
@@ -1201,7 +1203,7 @@
         },
         ExecutionAction::Hold(call) => ExecutionEvent::HoldAnswered {
             call,
-            answer: HoldAnswer::Unanswered,
+            answer: HoldResponse::Unanswered,
         },
         _ => ExecutionEvent::Tick,
     }
@@ -1239,9 +1241,9 @@
 fn request(tasks: u16, run_ms: u64) -> JobRequest {
     let step = StepSpec {
         tasks,
-        needs: Needs {
+        needs: Resources {
             cpu_milli: 1_000,
-            ..Needs::default()
+            ..Resources::default()
         },
         estimate_ms: run_ms,
         after: Vec::new(),
--- a/src/core/work/job_request.rs
+++ b/src/core/work/job_request.rs
@@ -1,6 +1,6 @@
 //! A job as a client hands it in.
 
-use {super::Needs, crate::core::verdict::reasons, std::sync::Arc};
+use {super::Resources, crate::core::verdict::reasons, std::sync::Arc};
 
 reasons! {
     /// Something that a job may ask for and that is not built.
@@ -26,7 +26,7 @@
     /// How many tasks.
     pub(crate) tasks: u16,
     /// What each task takes up.
-    pub(crate) needs: Needs,
+    pub(crate) needs: Resources,
     /// Rough run time of one task, in milliseconds.
     pub(crate) estimate_ms: u64,
     /// Earlier steps that must have ended first.
--- a/src/core/work/mod.rs
+++ b/src/core/work/mod.rs
@@ -2,7 +2,7 @@
 
 mod job_id;
 mod job_request;
-mod needs;
+mod resources;
 mod run_id;
 mod run_limits;
 mod worker_view;
@@ -10,8 +10,8 @@
 pub(crate) use {
     job_id::JobId,
     job_request::{JobRequest, StepSpec, UnsupportedFeature},
-    needs::Needs,
+    resources::Resources,
     run_id::{RunId, TaskId},
     run_limits::RunLimits,
-    worker_view::{WorkerLife, WorkerView},
+    worker_view::{WorkerIncarnation, WorkerView},
 };
--- a/src/core/work/needs.rs
+++ b/src/core/work/resources.rs
@@ -4,7 +4,7 @@
 
 /// Processor, memory and accelerators: of a task, of a worker, or what is left of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Needs {
+pub(crate) struct Resources {
     /// Processor time, in thousandths of a core.
     pub(crate) cpu_milli: u32,
     /// Memory, in megabytes.
@@ -13,7 +13,7 @@
     pub(crate) accelerators: u32,
 }
 
-impl Needs {
+impl Resources {
     /// Whether this fits into what is free.
     pub(crate) const fn fits(self, free: Self) -> bool {
         self.cpu_milli <= free.cpu_milli
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -34,7 +34,7 @@
 
 /// What an accepted change did.
 #[derive(Debug, Clone)]
-pub(crate) struct Accepted {
+pub(crate) struct AppliedChange {
     /// The head in force with it.
     pub(crate) head: Head,
     /// The sections that changed; none if the document was in force already.
@@ -64,7 +64,7 @@
         &self,
         operator: &OperatorSettings,
         change: &Change,
-    ) -> Result<Accepted, ApplyError> {
+    ) -> Result<AppliedChange, ApplyError> {
         let result = self.apply_in_turn(operator, change).await;
         let outcome = match &result {
             Ok(accepted) if accepted.sections.is_empty() => "unchanged",
@@ -80,10 +80,10 @@
         &self,
         owned: &[String],
         change: &Change,
-    ) -> Result<Accepted, ApplyError> {
+    ) -> Result<AppliedChange, ApplyError> {
         let current = self.current().await?;
         let draft = self.draft(owned, change, &current.in_force).await?;
-        Ok(Accepted {
+        Ok(AppliedChange {
             differences: current.in_force.document.differences(&draft.document),
             sections: draft.taken,
             head: current.in_force.head,
@@ -94,7 +94,7 @@
         &self,
         operator: &OperatorSettings,
         change: &Change,
-    ) -> Result<Accepted, ApplyError> {
+    ) -> Result<AppliedChange, ApplyError> {
         let _turn = self.wait_for_turn().await?;
         for _ in 0..RACES_LIMIT {
             let current = self.current().await?;
@@ -108,7 +108,7 @@
             let head = next_head(&current.in_force.head, operator, &draft);
             let sections = draft.taken.clone();
             if self.write(&current, &head, draft).await? == Written::Accepted {
-                return Ok(Accepted {
+                return Ok(AppliedChange {
                     head,
                     sections,
                     differences,
@@ -293,8 +293,8 @@
     }
 }
 
-const fn unchanged(head: Head) -> Accepted {
-    Accepted {
+const fn unchanged(head: Head) -> AppliedChange {
+    AppliedChange {
         head,
         sections: Vec::new(),
         differences: Vec::new(),
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -165,7 +165,7 @@
                 .grants(now, &announcement.availability_zone, &announcement.worker);
         let roster = inner.roster_for_agents(now);
         let roster_is_held = announcement.roster_digest == roster_digest(&roster);
-        if inner.directory.announce(now, announcement) {
+        if inner.directory.record_announcement(now, announcement) {
             self.tell_entries.notify_one();
         }
         AnnouncementReply {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -86,7 +86,7 @@
         let task_count = spec.tasks.len();
         let report = self.follow(identity, Some(spec), wait_ms).await;
         match report {
-            JobReport::Ended(answer) if !answer.is_whole(&ticket.id, task_count) => {
+            JobReport::Ended(answer) if !answer.is_complete(&ticket.id, task_count) => {
                 corrupt_answer()
             }
             report => report,
@@ -99,7 +99,7 @@
             .follow(Identity::of_ticket(ticket), None, wait_ms)
             .await
         {
-            JobReport::Ended(answer) if !answer.is_whole(&ticket.id, answer.outcomes.len()) => {
+            JobReport::Ended(answer) if !answer.is_complete(&ticket.id, answer.outcomes.len()) => {
                 corrupt_answer()
             }
             report => report,
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -5,10 +5,10 @@
     crate::{
         core::{
             config::Document,
-            directory::Telling,
+            directory::AgentDigest,
             gate::{ChangeEnd, ChangeId},
             message::{Announcement, Closing, Digest, DigestReply, GateNotice, PeerEntry},
-            roster::{RosterRow, Survey, entry_key},
+            roster::{RosterRow, RosterScan, entry_key},
             ticket::AgentId,
             time::Instant,
         },
@@ -117,11 +117,11 @@
         asked_at: Instant,
         rows: Vec<RosterRow>,
         beats: &BTreeMap<String, u64>,
-    ) -> Survey {
+    ) -> RosterScan {
         let now = self.timer.now();
         let mut inner = self.lock();
         let me = inner.me.clone();
-        let survey = inner.roster.survey(now, &me, rows, beats);
+        let survey = inner.roster.apply_scan(now, &me, rows, beats);
         if survey.own_row_stands {
             let others: BTreeSet<AgentId> = inner
                 .roster
@@ -150,13 +150,13 @@
     }
 
     /// What to tell another entry now.
-    pub(crate) fn digest_for(&self, peer: AgentId) -> (Digest, Telling) {
+    pub(crate) fn digest_for(&self, peer: AgentId) -> (Digest, AgentDigest) {
         let now = self.timer.now();
         let mut inner = self.lock();
         let Inner {
             digests, directory, ..
         } = &mut *inner;
-        let mut telling = digests.tell(now, peer, directory);
+        let mut telling = digests.build_digest(now, peer, directory);
         let digest = Digest {
             from: inner.me.clone(),
             version: inner.gate.status(now).version,
@@ -173,17 +173,19 @@
         let from = digest.from.entry;
         inner.gate.meet(now, from);
         inner.heard_from.insert(from, now);
-        inner.roster.meet(now, digest.from, self.outage_limit_ms);
+        inner
+            .roster
+            .add_announced(now, digest.from, self.outage_limit_ms);
         for report in digest.reports {
             if report.announcement.leaving {
                 inner.tickets.forget(report.announcement.agent);
             }
-            inner.directory.report(now, from, report);
+            inner.directory.record_report(now, from, report);
         }
         let unknown = digest
             .beats
             .into_iter()
-            .filter(|beat| !inner.directory.beat(now, from, *beat))
+            .filter(|beat| !inner.directory.record_heartbeat(now, from, *beat))
             .map(|beat| beat.index)
             .collect();
         let status = inner.gate.status(now);
@@ -202,7 +204,7 @@
     pub(crate) fn digest_answered(
         &self,
         asked_at: Instant,
-        telling: &Telling,
+        telling: &AgentDigest,
         reply: &DigestReply,
     ) -> bool {
         let now = self.timer.now();
@@ -252,7 +254,7 @@
         };
         inner
             .directory
-            .heard_here(now, None)
+            .announced_here(now, None)
             .map(|view| &view.announcement)
             .filter_map(|said| {
                 let (config_version, zone_open) = inner.verdict_on(said);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use {
     apply_error::ApplyError,
     claims::Claims,
-    config_change::Accepted,
+    config_change::AppliedChange,
     config_draft::{Change, Edit, based_on_all},
     config_keeper::ConfigKeeper,
     entry_state::{EntryState, InForce},
--- a/src/entry/tests/config/races.rs
+++ b/src/entry/tests/config/races.rs
@@ -4,7 +4,7 @@
     super::{FakePlatform, change, in_virtual_time, keeper, operator, values},
     crate::{
         core::config::{Head, SECTIONS},
-        entry::{Accepted, ApplyError, ConfigKeeper, InForce},
+        entry::{AppliedChange, ApplyError, ConfigKeeper, InForce},
     },
     proptest::{
         prelude::*,
@@ -41,7 +41,7 @@
     based_on: u64,
     sections: [bool; 4],
     /// `None` if the entry was killed before it answered.
-    answer: Option<Result<Accepted, ApplyError>>,
+    answer: Option<Result<AppliedChange, ApplyError>>,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
--- a/src/load/exchange.rs
+++ b/src/load/exchange.rs
@@ -4,8 +4,8 @@
     super::{schedule::PlannedJob, ticket_pool::TicketPool},
     crate::{
         adapters::http::{
-            HttpClient, HttpReply, NEXT_TICKET_HEADER, REASON_HEADER, TEAM_HEADER, TICKET_HEADER,
-            VERDICT_HEADER,
+            HttpClient, HttpClientResponse, NEXT_TICKET_HEADER, REASON_HEADER, TEAM_HEADER,
+            TICKET_HEADER, VERDICT_HEADER,
         },
         cli::LoadArgs,
         core::{job::TaskRef, ticket::Ticket},
@@ -201,7 +201,7 @@
 
 fn read_attempt(
     ticket: Option<Ticket>,
-    reply: &HttpReply,
+    reply: &HttpClientResponse,
     number: usize,
     job: &PlannedJob,
 ) -> Attempt {
--- a/src/platform/client_calls.rs
+++ b/src/platform/client_calls.rs
@@ -3,9 +3,9 @@
 use {
     super::{PlatformError, job_body::read_job},
     crate::{
-        adapters::http::{HttpAnswer, HttpCall},
+        adapters::http::{HttpRequest, HttpResponse},
         core::{
-            dispatch::Answer,
+            dispatch::JobOutcome,
             work::{JobId, JobRequest},
         },
     },
@@ -48,23 +48,23 @@
     }
 
     /// The job in a call's body.
-    pub(crate) fn job(call: &HttpCall) -> Result<JobRequest, PlatformError> {
+    pub(crate) fn job(call: &HttpRequest) -> Result<JobRequest, PlatformError> {
         read_job(&call.body)
     }
 
     /// How long the client waits, if it says so.
-    pub(crate) fn time_left_ms(call: &HttpCall) -> Option<u64> {
+    pub(crate) fn time_left_ms(call: &HttpRequest) -> Option<u64> {
         call.header(DEADLINE_HEADER)?.parse().ok()
     }
 
     /// The final answer to a job.
     ///
     /// A client sends the job again after a 504, and takes a 429 or 503 as word that it never runs.
-    pub(crate) fn answer(answer: Answer) -> HttpAnswer {
+    pub(crate) fn answer(answer: JobOutcome) -> HttpResponse {
         match answer {
-            Answer::Completed => HttpAnswer::json(StatusCode::OK, r#"{"state":"completed"}"#),
-            Answer::Failed => HttpAnswer::json(StatusCode::OK, r#"{"state":"failed"}"#),
-            Answer::NotRun {
+            JobOutcome::Completed => HttpResponse::json(StatusCode::OK, r#"{"state":"completed"}"#),
+            JobOutcome::Failed => HttpResponse::json(StatusCode::OK, r#"{"state":"failed"}"#),
+            JobOutcome::NotRun {
                 reason,
                 retry_after_ms,
             } => Self::refusal(
@@ -72,14 +72,14 @@
                 reason.as_str(),
                 retry_after_ms,
             ),
-            Answer::GivenUp(reason) => {
+            JobOutcome::GivenUp(reason) => {
                 Self::refusal(StatusCode::GATEWAY_TIMEOUT, reason.as_str(), 0)
             }
         }
     }
 
     /// The answer while there is no configuration to go by.
-    pub(crate) fn not_configured(retry_after_ms: u64) -> HttpAnswer {
+    pub(crate) fn not_configured(retry_after_ms: u64) -> HttpResponse {
         Self::refusal(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_configuration",
@@ -88,27 +88,27 @@
     }
 
     /// The answer for a queue that does not exist.
-    pub(crate) fn no_route() -> HttpAnswer {
+    pub(crate) fn no_route() -> HttpResponse {
         Self::refusal(StatusCode::NOT_FOUND, "no_route", 0)
     }
 
     /// The answer for a job that is not known: nothing is kept of jobs that have ended.
-    pub(crate) fn no_job() -> HttpAnswer {
+    pub(crate) fn no_job() -> HttpResponse {
         Self::refusal(StatusCode::GONE, "no_job", 0)
     }
 
     /// The answer to a call that can't be understood.
-    pub(crate) fn bad_request() -> HttpAnswer {
+    pub(crate) fn bad_request() -> HttpResponse {
         Self::refusal(StatusCode::BAD_REQUEST, "bad_request", 0)
     }
 
     /// How many jobs of a queue wait.
-    pub(crate) fn pending(jobs: usize) -> HttpAnswer {
-        HttpAnswer::json(StatusCode::OK, format!(r#"{{"pending":{jobs}}}"#))
+    pub(crate) fn pending(jobs: usize) -> HttpResponse {
+        HttpResponse::json(StatusCode::OK, format!(r#"{{"pending":{jobs}}}"#))
     }
 
-    fn refusal(status: StatusCode, reason: &str, retry_after_ms: u64) -> HttpAnswer {
-        let answer = HttpAnswer::json(status, format!(r#"{{"error":"{reason}"}}"#));
+    fn refusal(status: StatusCode, reason: &str, retry_after_ms: u64) -> HttpResponse {
+        let answer = HttpResponse::json(status, format!(r#"{{"error":"{reason}"}}"#));
         if retry_after_ms == 0 {
             return answer;
         }
--- a/src/platform/job_body.rs
+++ b/src/platform/job_body.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{PlatformError, json::read_json},
-    crate::core::work::{JobRequest, Needs, StepSpec, UnsupportedFeature},
+    crate::core::work::{JobRequest, Resources, StepSpec, UnsupportedFeature},
     serde::Deserialize,
     std::sync::Arc,
 };
@@ -83,7 +83,7 @@
     let label = |text: String| (!text.is_empty()).then_some(text);
     StepSpec {
         tasks: body.count,
-        needs: Needs {
+        needs: Resources {
             cpu_milli: body.cpu,
             memory_mb: body.mem_mb,
             accelerators: body.gpu,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -22,5 +22,5 @@
     platform_caller::PlatformCaller,
     rows_store::RowsStore,
     worker_calls::HttpWorker,
-    worker_reports::{WorkerWord, read_worker_word},
+    worker_reports::{WorkerReport, read_worker_word},
 };
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -7,8 +7,10 @@
         platform_caller::PlatformCall,
     },
     crate::{
-        core::{document::Document, link::News, work::WorkerView},
-        ports::{Change, ListCopy, OperatorChange, OperatorRows, SiteStore, StoreError},
+        core::{document::Document, link::EvacuatedZones, work::WorkerView},
+        ports::{
+            EntryListChange, EntryListReplica, OperatorChange, OperatorRows, SiteStore, StoreError,
+        },
     },
     async_trait::async_trait,
     base64::{Engine, engine::general_purpose::STANDARD},
@@ -217,7 +219,7 @@
         let changed = OperatorRowsBody::read(&rows)?;
         let zones = changed.zones.into_iter();
         Ok(OperatorRows {
-            news: News {
+            zones: EvacuatedZones {
                 version,
                 evacuated: zones
                     .filter(|(_, out)| *out)
@@ -248,20 +250,35 @@
         })
     }
 
-    async fn read_entries(&self, copy: ListCopy) -> Result<(Vec<SocketAddr>, u64), StoreError> {
+    async fn read_entries(
+        &self,
+        copy: EntryListReplica,
+    ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
         let part = copy.number().to_string();
         let (rows, version) = self.rows(ENTRIES_TABLE, &part).await?;
         let entries = rows.iter().filter_map(|row| row.key.parse().ok());
         Ok((entries.collect(), version))
     }
 
-    async fn wait_for_entries(&self, after: u64, wait_ms: u64) -> Result<Change, StoreError> {
+    async fn wait_for_entries(
+        &self,
+        after: u64,
+        wait_ms: u64,
+    ) -> Result<EntryListChange, StoreError> {
         let page = self.changes(ENTRIES_TABLE, after, wait_ms).await?;
         let unchanged = page.filter(|page| page.rows.is_empty());
-        Ok(unchanged.map_or(Change::Some, |page| Change::None { version: page.ver }))
+        Ok(
+            unchanged.map_or(EntryListChange::Some, |page| EntryListChange::None {
+                version: page.ver,
+            }),
+        )
     }
 
-    async fn add_entry(&self, entry: SocketAddr, copy: ListCopy) -> Result<u64, StoreError> {
+    async fn add_entry(
+        &self,
+        entry: SocketAddr,
+        copy: EntryListReplica,
+    ) -> Result<u64, StoreError> {
         let (key, part) = (entry.to_string(), copy.number().to_string());
         let put = PutRow {
             row: entry_row(&key, &part),
@@ -280,7 +297,7 @@
     async fn remove_entry(
         &self,
         entry: SocketAddr,
-        copy: ListCopy,
+        copy: EntryListReplica,
         version: u64,
     ) -> Result<(), StoreError> {
         let (key, part) = (entry.to_string(), copy.number().to_string());
@@ -304,7 +321,7 @@
         Ok(Some(worker))
     }
 
-    async fn keep_worker(&self, agent: &str, worker: &WorkerView) -> Result<(), StoreError> {
+    async fn store_worker(&self, agent: &str, worker: &WorkerView) -> Result<(), StoreError> {
         let put = PutRow {
             row: RowKey {
                 table: WORKERS_TABLE,
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        PlatformCaller, RowsStore, WorkerWord, job_body::read_job, read_config, read_worker_word,
+        PlatformCaller, RowsStore, WorkerReport, job_body::read_job, read_config, read_worker_word,
     },
     crate::{
         core::{document::Document, work::UnsupportedFeature},
@@ -27,14 +27,14 @@
     })
 }
 
-fn read_heartbeat(body: &[u8]) -> Option<WorkerWord> {
+fn read_heartbeat(body: &[u8]) -> Option<WorkerReport> {
     read_worker_word(HEARTBEAT, body)?.ok()
 }
 
 #[test]
 fn a_heartbeat_tells_room_labels_and_life() {
     let body = heartbeat().to_string();
-    let Some(WorkerWord::Heartbeat { view, sequence }) = read_heartbeat(body.as_bytes()) else {
+    let Some(WorkerReport::Heartbeat { view, sequence }) = read_heartbeat(body.as_bytes()) else {
         panic!("a heartbeat");
     };
     assert_eq!(sequence, 4);
--- a/src/platform/worker_calls.rs
+++ b/src/platform/worker_calls.rs
@@ -5,12 +5,12 @@
     crate::{
         core::{
             execution::{
-                HoldAnswer, HoldCall, ListedEnd, ListedRun, StartAnswer, StartCall, StopCall,
+                HoldCall, HoldResponse, ListedEnd, ListedRun, StartCall, StartResponse, StopCall,
             },
-            link::RunEnd,
+            link::RunOutcome,
             work::{JobId, TaskId},
         },
-        ports::WorkerPort,
+        ports::WorkerClient,
     },
     async_trait::async_trait,
     http::{HeaderName, HeaderValue, Method, StatusCode},
@@ -117,8 +117,8 @@
 }
 
 #[async_trait]
-impl WorkerPort for HttpWorker {
-    async fn start(&self, call: &StartCall) -> StartAnswer {
+impl WorkerClient for HttpWorker {
+    async fn start(&self, call: &StartCall) -> StartResponse {
         let body = StartBody {
             task: task_name(call.task),
             run: call.number,
@@ -128,22 +128,22 @@
         };
         let answer = self.post("/v1/run-start", &call.worker, &body, ORDER_TIMEOUT_MS);
         match answer.await {
-            Ok((StatusCode::OK, _)) => StartAnswer::Accepted,
+            Ok((StatusCode::OK, _)) => StartResponse::Accepted,
             Ok((StatusCode::CONFLICT, body)) => conflict(&body),
             Ok((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _)) => {
-                StartAnswer::Unhealthy
+                StartResponse::Unhealthy
             }
             Ok((status, _)) if status.is_client_error() => {
                 log::warn!(status:% = status; "the worker rejected a start");
-                StartAnswer::Rejected
+                StartResponse::Rejected
             }
             Ok((status, _)) => {
                 log::warn!(status:% = status; "unexpected answer to a start");
-                StartAnswer::Unanswered
+                StartResponse::Unanswered
             }
             Err(error) => {
                 log::debug!(error:% = error; "a start was not answered");
-                StartAnswer::Unanswered
+                StartResponse::Unanswered
             }
         }
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    async fn hold(&self, call: &HoldCall) -> HoldAnswer {
+    async fn hold(&self, call: &HoldCall) -> HoldResponse {
         let body = HoldBody {
             deadline_ms: call.lease_until_ms,
             fencing_token: call.token,
@@ -174,15 +174,15 @@
         let timeout_ms = call.wait_ms + HOLD_SLACK_MS;
         match self.post("/v1/hold", &call.worker, &body, timeout_ms).await {
             Ok((StatusCode::OK, body)) => lists(&body),
-            Ok((StatusCode::CONFLICT, _)) => HoldAnswer::Fenced,
-            Ok((StatusCode::MISDIRECTED_REQUEST, _)) => HoldAnswer::OtherWorker,
+            Ok((StatusCode::CONFLICT, _)) => HoldResponse::Fenced,
+            Ok((StatusCode::MISDIRECTED_REQUEST, _)) => HoldResponse::OtherWorker,
             Ok((status, _)) => {
                 log::warn!(status:% = status; "unexpected answer to a hold");
-                HoldAnswer::Unanswered
+                HoldResponse::Unanswered
             }
             Err(error) => {
                 log::debug!(error:% = error; "a hold was not answered");
-                HoldAnswer::Unanswered
+                HoldResponse::Unanswered
             }
         }
     }
@@ -205,32 +205,32 @@
 }
 
 /// What a rejection of a start says; unreadable ones count as rejected.
-fn conflict(body: &[u8]) -> StartAnswer {
+fn conflict(body: &[u8]) -> StartResponse {
     let reason = serde_json::from_slice::<ReasonBody>(body)
         .unwrap_or_default()
         .reason;
     match reason.as_str() {
-        "fence" => StartAnswer::Fenced,
-        "old" => StartAnswer::NumberUsed,
-        "late" => StartAnswer::Late,
-        "room" => StartAnswer::NoRoom,
+        "fence" => StartResponse::Fenced,
+        "old" => StartResponse::NumberUsed,
+        "late" => StartResponse::Late,
+        "room" => StartResponse::NoRoom,
         other => {
             log::warn!(reason = other; "the worker rejected a start");
-            StartAnswer::Rejected
+            StartResponse::Rejected
         }
     }
 }
 
 /// The worker's lists; rows that can't be read are left aside.
-fn lists(body: &[u8]) -> HoldAnswer {
+fn lists(body: &[u8]) -> HoldResponse {
     let body: ListsBody = match serde_json::from_slice(body) {
         Ok(body) => body,
         Err(error) => {
             log::warn!(error:% = error; "the worker's lists can't be read");
-            return HoldAnswer::Unanswered;
+            return HoldResponse::Unanswered;
         }
     };
-    HoldAnswer::Lists {
+    HoldResponse::Lists {
         born_unix_ms: body.born,
         clock_ms: body.clock_ms,
         running: body
@@ -257,10 +257,10 @@
 /// A row of number, task, run, and how it ended.
 fn listed_end(row: &[serde_json::Value]) -> Option<ListedEnd> {
     let end = match row.get(3)?.as_str()? {
-        "done" => RunEnd::Done,
-        "failed" => RunEnd::Failed,
-        "stopped" => RunEnd::Stopped,
-        _ => RunEnd::Lost,
+        "done" => RunOutcome::Done,
+        "failed" => RunOutcome::Failed,
+        "stopped" => RunOutcome::Stopped,
+        _ => RunOutcome::Lost,
     };
     Some(ListedEnd {
         sequence: row.first()?.as_u64()?,
--- a/src/platform/worker_reports.rs
+++ b/src/platform/worker_reports.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{PlatformError, json::read_json},
-    crate::core::work::{Needs, WorkerLife, WorkerView},
+    crate::core::work::{Resources, WorkerIncarnation, WorkerView},
     serde::Deserialize,
 };
 
@@ -40,7 +40,7 @@
 
 /// Something that a worker says of itself.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum WorkerWord {
+pub(crate) enum WorkerReport {
     /// How it is.
     Heartbeat {
         /// What it says.
@@ -59,9 +59,9 @@
 pub(crate) fn read_worker_word(
     path: &str,
     body: &[u8],
-) -> Option<Result<WorkerWord, PlatformError>> {
+) -> Option<Result<WorkerReport, PlatformError>> {
     if let Some(worker) = path.strip_prefix(LEAVE_PATH) {
-        return Some(Ok(WorkerWord::Leave {
+        return Some(Ok(WorkerReport::Leave {
             worker: worker.to_owned(),
         }));
     }
@@ -69,16 +69,16 @@
     Some(read_heartbeat(worker, body))
 }
 
-fn read_heartbeat(worker: &str, body: &[u8]) -> Result<WorkerWord, PlatformError> {
+fn read_heartbeat(worker: &str, body: &[u8]) -> Result<WorkerReport, PlatformError> {
     let body: HeartbeatBody = read_json(body)?;
     let view = WorkerView {
-        life: WorkerLife {
+        life: WorkerIncarnation {
             id: worker.to_owned(),
             born_unix_ms: body.born,
         },
         service: body.service,
         availability_zone: body.zone,
-        capacity: Needs {
+        capacity: Resources {
             cpu_milli: body.capacity.cpu,
             memory_mb: body.capacity.mem_mb,
             accelerators: body.capacity.gpu,
@@ -86,7 +86,7 @@
         labels: body.labels,
         draining: matches!(body.state, StateBody::Draining),
     };
-    Ok(WorkerWord::Heartbeat {
+    Ok(WorkerReport::Heartbeat {
         view,
         sequence: body.seq,
     })
--- a/src/ports/decision_log.rs
+++ b/src/ports/decision_log.rs
@@ -4,7 +4,7 @@
 
 /// How soon a line may be dropped when there are too many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum LineRank {
+pub(crate) enum LogPriority {
     /// The usual course of things.
     Routine,
     /// Something failed, or the process believes something else from now on.
@@ -14,11 +14,11 @@
 /// Takes lines in without ever waiting.
 pub(crate) trait DecisionLog: Debug + Send + Sync {
     /// Takes the fields of one line, a JSON object.
-    fn write(&self, rank: LineRank, fields: serde_json::Value);
+    fn write(&self, rank: LogPriority, fields: serde_json::Value);
 }
 
 /// Writes a decision down.
-pub(crate) fn note<N: Serialize>(log: &dyn DecisionLog, rank: LineRank, decision: &N) {
+pub(crate) fn log_decision<N: Serialize>(log: &dyn DecisionLog, rank: LogPriority, decision: &N) {
     match serde_json::to_value(decision) {
         Ok(fields) => log.write(rank, fields),
         Err(error) => log::warn!(error:% = error; "a decision can't be written down"),
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -8,19 +8,19 @@
 mod site_store;
 mod store;
 mod timer_service;
-mod worker_port;
+mod worker_client;
 
 #[cfg(test)]
 mod tests;
 
 pub(crate) use {
     backend_server::BackendServer,
-    decision_log::{DecisionLog, LineRank, note},
+    decision_log::{DecisionLog, LogPriority, log_decision},
     feed_cursor::FeedCursor,
     metrics::{Counter, Gauge, Metrics, Span},
     peer_network::{PeerError, PeerNetwork, SessionIo},
-    site_store::{Change, ListCopy, OperatorChange, OperatorRows, SiteStore},
+    site_store::{EntryListChange, EntryListReplica, OperatorChange, OperatorRows, SiteStore},
     store::{Check, ObjectStore, Put, Row, StoreError, Table, Transaction, TransactionOutcome},
     timer_service::TimerService,
-    worker_port::WorkerPort,
+    worker_client::WorkerClient,
 };
--- a/src/ports/site_store.rs
+++ b/src/ports/site_store.rs
@@ -2,14 +2,14 @@
 
 use {
     super::StoreError,
-    crate::core::{document::Document, link::News, work::WorkerView},
+    crate::core::{document::Document, link::EvacuatedZones, work::WorkerView},
     async_trait::async_trait,
     std::{collections::BTreeMap, fmt::Debug, net::SocketAddr},
 };
 
 /// What has changed since a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Change {
+pub(crate) enum EntryListChange {
     /// Nothing up to this version.
     None {
         /// The store's version.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct OperatorRows {
     /// The zones that are out, and the version of the store.
-    pub(crate) news: News,
+    pub(crate) zones: EvacuatedZones,
     /// The document, if there is one.
     pub(crate) document: Option<Document>,
 }
@@ -55,9 +55,9 @@
 /// single list, agents that start while its part is away find no entry, although the entries are at
 /// work. A part in four may be away at once; then all three are in one case of 64.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ListCopy(u8);
+pub(crate) struct EntryListReplica(u8);
 
-impl ListCopy {
+impl EntryListReplica {
     /// All copies.
     pub(crate) const ALL: [Self; 3] = [Self(0), Self(1), Self(2)];
 
@@ -81,13 +81,21 @@
     ) -> Result<OperatorChange, StoreError>;
 
     /// Reads where entries are, and the store's version.
-    async fn read_entries(&self, copy: ListCopy) -> Result<(Vec<SocketAddr>, u64), StoreError>;
+    async fn read_entries(
+        &self,
+        copy: EntryListReplica,
+    ) -> Result<(Vec<SocketAddr>, u64), StoreError>;
 
     /// Waits up to `wait_ms` for a change of any copy after a version.
-    async fn wait_for_entries(&self, after: u64, wait_ms: u64) -> Result<Change, StoreError>;
+    async fn wait_for_entries(
+        &self,
+        after: u64,
+        wait_ms: u64,
+    ) -> Result<EntryListChange, StoreError>;
 
     /// Puts an entry into a copy; the version of its row there.
-    async fn add_entry(&self, entry: SocketAddr, copy: ListCopy) -> Result<u64, StoreError>;
+    async fn add_entry(&self, entry: SocketAddr, copy: EntryListReplica)
+    -> Result<u64, StoreError>;
 
     /// Removes an entry from a copy unless its row is no longer of this version.
     ///
@@ -96,7 +104,7 @@
     async fn remove_entry(
         &self,
         entry: SocketAddr,
-        copy: ListCopy,
+        copy: EntryListReplica,
         version: u64,
     ) -> Result<(), StoreError>;
 
@@ -104,5 +112,5 @@
     async fn read_worker(&self, agent: &str) -> Result<Option<WorkerView>, StoreError>;
 
     /// Keeps what an agent knows of its worker for its later processes.
-    async fn keep_worker(&self, agent: &str, worker: &WorkerView) -> Result<(), StoreError>;
+    async fn store_worker(&self, agent: &str, worker: &WorkerView) -> Result<(), StoreError>;
 }
--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -5,7 +5,9 @@
     crate::{
         adapters::{link::dial_link, timer::Backoff},
         core::execution::{ExecutionEvent, SessionId},
-        ports::{Change, Counter, FeedCursor, ListCopy, Metrics, SiteStore, StoreError},
+        ports::{
+            Counter, EntryListChange, EntryListReplica, FeedCursor, Metrics, SiteStore, StoreError,
+        },
     },
     std::{
         collections::BTreeMap,
@@ -78,7 +80,7 @@
 
     /// Reads the first copy of the list that can be read, beginning with any.
     async fn read_list(&self) -> Result<(Vec<SocketAddr>, u64), StoreError> {
-        let mut copies = ListCopy::ALL;
+        let mut copies = EntryListReplica::ALL;
         let first = rand::random_range(0..copies.len());
         copies.rotate_left(first);
         let [first, others @ ..] = copies;
@@ -97,8 +99,8 @@
         let mut cursor = FeedCursor::new(read_at, FEED_LAG);
         loop {
             match self.store.wait_for_entries(cursor.after(), WAIT_MS).await? {
-                Change::None { version } => cursor.advance(version),
-                Change::Some => return Ok(()),
+                EntryListChange::None { version } => cursor.advance(version),
+                EntryListChange::Some => return Ok(()),
             }
         }
     }
--- a/src/site_agent/execution_loop.rs
+++ b/src/site_agent/execution_loop.rs
@@ -4,11 +4,14 @@
     crate::{
         adapters::link::FrameDuplex,
         core::{
-            execution::{ExecutionAction, ExecutionEvent, ExecutionNote, Executor, SessionId},
+            execution::{ExecutionAction, ExecutionEvent, ExecutionLogEvent, Executor, SessionId},
             link::{AgentFrame, EntryFrame},
             work::WorkerView,
         },
-        ports::{Counter, DecisionLog, Gauge, LineRank, Metrics, TimerService, WorkerPort, note},
+        ports::{
+            Counter, DecisionLog, Gauge, LogPriority, Metrics, TimerService, WorkerClient,
+            log_decision,
+        },
     },
     std::{collections::BTreeMap, sync::Arc},
     tokio::sync::{mpsc, oneshot, watch},
@@ -46,7 +49,7 @@
 #[derive(Debug)]
 pub(super) struct ExecutionLoop {
     pub(super) executor: Executor,
-    pub(super) worker: Arc<dyn WorkerPort>,
+    pub(super) worker: Arc<dyn WorkerClient>,
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) decisions: Arc<dyn DecisionLog>,
     pub(super) metrics: Arc<dyn Metrics>,
@@ -121,17 +124,17 @@
             ExecutionAction::Close { session } => {
                 self.sessions.remove(&session);
             }
-            ExecutionAction::Cleared { session } => {
+            ExecutionAction::SessionDrained { session } => {
                 self.sessions.remove(&session);
                 if let Some(cleared) = self.clearing.remove(&session) {
                     let _ = cleared.send(());
                 }
             }
             // Told again with each life of the worker; only the first matters.
-            ExecutionAction::CleanSlate => {
+            ExecutionAction::StaleRunsStopped => {
                 self.clean_slate.send_replace(true);
             }
-            ExecutionAction::Keep(view) => {
+            ExecutionAction::PersistWorker(view) => {
                 self.kept_worker.send_replace(Some(view));
             }
             ExecutionAction::Start(call) => {
@@ -149,14 +152,14 @@
                 let answer = worker.hold(&call).await;
                 ExecutionEvent::HoldAnswered { call, answer }
             }),
-            ExecutionAction::Note(decision) => self.write_down(&decision),
+            ExecutionAction::Log(decision) => self.write_down(&decision),
         }
     }
 
     /// Calls the worker beside the loop, which takes the answer in as an event.
     fn call<C, F>(&self, call: C)
     where
-        C: FnOnce(Arc<dyn WorkerPort>) -> F,
+        C: FnOnce(Arc<dyn WorkerClient>) -> F,
         F: Future<Output = ExecutionEvent> + Send + 'static,
     {
         let inputs = self.inputs_back.clone();
@@ -167,26 +170,26 @@
         });
     }
 
-    fn write_down(&self, decision: &ExecutionNote) {
+    fn write_down(&self, decision: &ExecutionLogEvent) {
         match decision {
-            ExecutionNote::RunNotStarted { reason, .. } => {
+            ExecutionLogEvent::RunNotStarted { reason, .. } => {
                 self.metrics.count(Counter::Refusals, reason);
             }
-            ExecutionNote::RunEnded { end, .. } => self.metrics.count(Counter::Retries, end),
-            ExecutionNote::OrderUnanswered { .. } => {
+            ExecutionLogEvent::RunEnded { end, .. } => self.metrics.count(Counter::Retries, end),
+            ExecutionLogEvent::OrderUnanswered { .. } => {
                 self.metrics.count(Counter::Retries, "order_unanswered");
             }
-            ExecutionNote::Fenced { .. } => self.metrics.count(Counter::Retries, "fenced"),
-            ExecutionNote::EntryConnected { .. }
-            | ExecutionNote::EntryLost { .. }
-            | ExecutionNote::WorkerSeen { .. }
-            | ExecutionNote::WorkerDraining { .. }
-            | ExecutionNote::WorkerLost { .. }
-            | ExecutionNote::WorkerReady { .. }
-            | ExecutionNote::StrayRun { .. }
-            | ExecutionNote::DocumentFetched { .. }
-            | ExecutionNote::NewsTaken { .. } => {}
+            ExecutionLogEvent::Fenced { .. } => self.metrics.count(Counter::Retries, "fenced"),
+            ExecutionLogEvent::EntryConnected { .. }
+            | ExecutionLogEvent::EntryLost { .. }
+            | ExecutionLogEvent::WorkerSeen { .. }
+            | ExecutionLogEvent::WorkerDraining { .. }
+            | ExecutionLogEvent::WorkerLost { .. }
+            | ExecutionLogEvent::WorkerReady { .. }
+            | ExecutionLogEvent::StrayRun { .. }
+            | ExecutionLogEvent::DocumentFetched { .. }
+            | ExecutionLogEvent::NewsTaken { .. } => {}
         }
-        note(&*self.decisions, LineRank::Notable, decision);
+        log_decision(&*self.decisions, LogPriority::Notable, decision);
     }
 }
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -19,7 +19,7 @@
             work::WorkerView,
         },
         platform::HttpWorker,
-        site_entry::{ProcessNote, SiteProcess},
+        site_entry::{ProcessLogEvent, SiteProcess},
     },
     std::{
         collections::BTreeMap,
@@ -177,15 +177,15 @@
     } = shared;
     let last_at = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(LAST_MS));
     let open = count_runs(inputs).await;
-    process.note(&ProcessNote::Stopping { open, grace_ms });
+    process.log_event(&ProcessLogEvent::Stopping { open, grace_ms });
     // The loop ends only with the process.
-    let _ = inputs.send(LoopInput::Event(ExecutionEvent::Leave));
+    let _ = inputs.send(LoopInput::Event(ExecutionEvent::Shutdown));
     while Instant::now() < last_at && count_runs(inputs).await > 0 {
         sleep(Duration::from_millis(LOOK_MS)).await;
     }
     // Ends that were just told are still on their way out.
     sleep(Duration::from_millis(LOOK_MS)).await;
     let open = count_runs(inputs).await;
-    process.note(&ProcessNote::Stopped { open });
+    process.log_event(&ProcessLogEvent::Stopped { open });
     sleep(Duration::from_millis(LOOK_MS)).await;
 }
--- a/src/site_agent/worker_ear.rs
+++ b/src/site_agent/worker_ear.rs
@@ -3,9 +3,9 @@
 use {
     super::execution_loop::LoopInput,
     crate::{
-        adapters::http::{HttpAnswer, HttpCall, HttpHandler},
+        adapters::http::{HttpHandler, HttpRequest, HttpResponse},
         core::execution::ExecutionEvent,
-        platform::{WorkerWord, read_worker_word},
+        platform::{WorkerReport, read_worker_word},
         ports::{Counter, Metrics},
     },
     async_trait::async_trait,
@@ -23,30 +23,30 @@
 
 #[async_trait]
 impl HttpHandler for WorkerEar {
-    async fn answer(&self, call: HttpCall) -> HttpAnswer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         let word = match read_worker_word(&call.path, &call.body) {
-            None => return HttpAnswer::empty(StatusCode::NOT_FOUND),
+            None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
                 log::info!(error:% = error; "a worker's report can't be read");
-                return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+                return HttpResponse::empty(StatusCode::BAD_REQUEST);
             }
             Some(Ok(word)) => word,
         };
         self.metrics.count(Counter::Announcements, "taken");
         let event = match word {
-            WorkerWord::Heartbeat { view, sequence } => {
+            WorkerReport::Heartbeat { view, sequence } => {
                 ExecutionEvent::Heartbeat { view, sequence }
             }
-            WorkerWord::Leave { worker } => ExecutionEvent::WorkerLeft { worker },
+            WorkerReport::Leave { worker } => ExecutionEvent::WorkerLeft { worker },
         };
         // The report is acknowledged once the executor has acted on it: a worker that is about to
         // end counts on being given nothing more.
         let (taken, acted) = tokio::sync::oneshot::channel();
         let sent = self.inputs.send(LoopInput::Report { event, taken });
         match (sent, acted.await) {
-            (Ok(()), Ok(())) => HttpAnswer::json(StatusCode::OK, "{}"),
-            _ => HttpAnswer::empty(StatusCode::SERVICE_UNAVAILABLE),
+            (Ok(()), Ok(())) => HttpResponse::json(StatusCode::OK, "{}"),
+            _ => HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 }
--- a/src/site_agent/worker_memory.rs
+++ b/src/site_agent/worker_memory.rs
@@ -28,7 +28,7 @@
     pub(super) async fn run(self, newest: watch::Receiver<Option<WorkerView>>) {
         match self.store.read_worker(&self.agent).await {
             Ok(Some(view)) => {
-                let event = ExecutionEvent::Recalled { view };
+                let event = ExecutionEvent::WorkerRestored { view };
                 // The loop ends only with the process.
                 let _ = self.inputs.send(LoopInput::Event(event));
             }
@@ -46,7 +46,7 @@
             let Some(view) = newest.borrow_and_update().clone() else {
                 continue;
             };
-            match self.store.keep_worker(&self.agent, &view).await {
+            match self.store.store_worker(&self.agent, &view).await {
                 Ok(()) => backoff.reset(),
                 Err(error) => {
                     log::info!(error:% = error; "what is known of the worker can't be kept");
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -1,17 +1,19 @@
 //! Feeds the dispatcher and carries its actions out.
 
 use {
-    super::{news_keeper::NewsKeeper, state::EntryState},
+    super::{operator_rows_watcher::OperatorRowsWatcher, state::EntryState},
     crate::{
         adapters::link::FrameDuplex,
         core::{
             dispatch::{
-                Answer, DispatchAction, DispatchEvent, DispatchNote, Dispatcher, LinkId,
+                DispatchAction, DispatchEvent, DispatchLogEvent, Dispatcher, JobOutcome, LinkId,
                 Submission, WaiterId,
             },
             link::{AgentFrame, EntryFrame},
         },
-        ports::{Counter, DecisionLog, Gauge, LineRank, Metrics, Span, TimerService, note},
+        ports::{
+            Counter, DecisionLog, Gauge, LogPriority, Metrics, Span, TimerService, log_decision,
+        },
     },
     std::{collections::BTreeMap, sync::Arc},
     tokio::sync::{mpsc, oneshot},
@@ -31,7 +33,7 @@
     /// A job, and where its answer goes.
     Submit {
         submission: Submission,
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<JobOutcome>,
     },
     /// Anything else for the dispatcher.
     Event(DispatchEvent),
@@ -50,10 +52,10 @@
     pub(super) dispatcher: Dispatcher,
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) state: Arc<EntryState>,
-    pub(super) news: Arc<NewsKeeper>,
+    pub(super) news: Arc<OperatorRowsWatcher>,
     pub(super) decisions: Arc<dyn DecisionLog>,
     pub(super) metrics: Arc<dyn Metrics>,
-    pub(super) waiters: BTreeMap<WaiterId, oneshot::Sender<Answer>>,
+    pub(super) waiters: BTreeMap<WaiterId, oneshot::Sender<JobOutcome>>,
     pub(super) links: BTreeMap<LinkId, mpsc::UnboundedSender<EntryFrame>>,
     pub(super) last_link: u64,
     pub(super) inputs_back: mpsc::UnboundedSender<LoopInput>,
@@ -144,10 +146,10 @@
                 DispatchAction::Close { link } => {
                     self.links.remove(&link);
                 }
-                DispatchAction::Answer { waiter, answer } => {
+                DispatchAction::Reply { waiter, answer } => {
                     let (name, reason) = answer.name_and_reason();
                     self.metrics.count(Counter::Answers, name);
-                    if matches!(answer, Answer::NotRun { .. }) {
+                    if matches!(answer, JobOutcome::NotRun { .. }) {
                         self.metrics.count(Counter::Refusals, reason);
                     }
                     // A client that has gone meanwhile takes no answer.
@@ -155,20 +157,20 @@
                         let _ = waiting.send(answer);
                     }
                 }
-                DispatchAction::TakeNews(news) => self.news.take_news(news, "agent"),
+                DispatchAction::ApplyEvacuatedZones(news) => self.news.take_news(news, "agent"),
                 DispatchAction::TakeDocument(document) => {
                     self.news.take_document(document, "agent");
                 }
-                DispatchAction::Note(decision) => self.write_down(&decision),
+                DispatchAction::Log(decision) => self.write_down(&decision),
             }
         }
         let open = u64::try_from(self.dispatcher.open_jobs()).unwrap_or(u64::MAX);
         self.metrics.set(Gauge::JobsRunning, open);
     }
 
-    fn write_down(&self, decision: &DispatchNote) {
+    fn write_down(&self, decision: &DispatchLogEvent) {
         let rank = match decision {
-            DispatchNote::JobAnswered {
+            DispatchLogEvent::JobAnswered {
                 answer,
                 took_ms,
                 waited_ms,
@@ -177,41 +179,41 @@
                 self.metrics.observe(Span::JobTook, answer, *took_ms);
                 self.metrics.observe(Span::JobWaited, answer, *waited_ms);
                 if *answer == "completed" {
-                    LineRank::Routine
+                    LogPriority::Routine
                 } else {
-                    LineRank::Notable
+                    LogPriority::Notable
                 }
             }
-            DispatchNote::RunLost { end, .. } => {
+            DispatchLogEvent::RunLost { end, .. } => {
                 self.metrics.count(Counter::Retries, end);
-                LineRank::Notable
+                LogPriority::Notable
             }
-            DispatchNote::RunOverdue { .. } => {
+            DispatchLogEvent::RunOverdue { .. } => {
                 self.metrics.count(Counter::Retries, "overdue");
-                LineRank::Notable
+                LogPriority::Notable
             }
-            DispatchNote::WorkerEjected { reason, .. } => {
+            DispatchLogEvent::WorkerEjected { reason, .. } => {
                 self.metrics.count(Counter::Ejections, reason);
-                LineRank::Notable
+                LogPriority::Notable
             }
-            DispatchNote::DocumentFetched { bytes, .. } => {
+            DispatchLogEvent::DocumentFetched { bytes, .. } => {
                 let bytes = u64::try_from(*bytes).unwrap_or(u64::MAX);
                 self.metrics.add(Counter::DocumentBytes, "fetched", bytes);
-                LineRank::Notable
+                LogPriority::Notable
             }
-            DispatchNote::JobTaken { .. } => LineRank::Routine,
-            DispatchNote::JobRefused { .. }
-            | DispatchNote::JobJoined { .. }
-            | DispatchNote::JobHeld { .. }
-            | DispatchNote::Woke { .. }
-            | DispatchNote::JobIsolated { .. }
-            | DispatchNote::HelloOutdated { .. }
-            | DispatchNote::AgentConnected { .. }
-            | DispatchNote::AgentLost { .. }
-            | DispatchNote::WorkerChanged { .. }
-            | DispatchNote::NewsInForce { .. } => LineRank::Notable,
+            DispatchLogEvent::JobTaken { .. } => LogPriority::Routine,
+            DispatchLogEvent::JobRefused { .. }
+            | DispatchLogEvent::JobJoined { .. }
+            | DispatchLogEvent::JobHeld { .. }
+            | DispatchLogEvent::Woke { .. }
+            | DispatchLogEvent::JobIsolated { .. }
+            | DispatchLogEvent::HelloOutdated { .. }
+            | DispatchLogEvent::AgentConnected { .. }
+            | DispatchLogEvent::AgentLost { .. }
+            | DispatchLogEvent::WorkerChanged { .. }
+            | DispatchLogEvent::NewsInForce { .. } => LogPriority::Notable,
         };
-        note(&*self.decisions, rank, decision);
+        log_decision(&*self.decisions, rank, decision);
     }
 }
 
--- a/src/site_entry/front.rs
+++ b/src/site_entry/front.rs
@@ -1,16 +1,18 @@
 //! Clients' calls.
 
 use {
-    super::{dispatch_loop::LoopInput, process_note::ProcessNote, state::EntryState},
+    super::{dispatch_loop::LoopInput, process_log_event::ProcessLogEvent, state::EntryState},
     crate::{
-        adapters::http::{HttpAnswer, HttpCall, HttpHandler},
+        adapters::http::{HttpHandler, HttpRequest, HttpResponse},
         core::{
-            dispatch::{Answer, DispatchEvent, GiveUpReason, RefusalReason, Submission, WaiterId},
+            dispatch::{
+                DispatchEvent, GiveUpReason, JobOutcome, RefusalReason, Submission, WaiterId,
+            },
             routes::{HttpLimits, Route},
             work::JobId,
         },
         platform::{ClientAction, PlatformClients},
-        ports::{Counter, DecisionLog, LineRank, Metrics, note},
+        ports::{Counter, DecisionLog, LogPriority, Metrics, log_decision},
     },
     async_trait::async_trait,
     std::sync::{
@@ -55,7 +57,7 @@
 }
 
 impl Front {
-    async fn submit(&self, call: &HttpCall, id: JobId, route: &Route) -> HttpAnswer {
+    async fn submit(&self, call: &HttpRequest, id: JobId, route: &Route) -> HttpResponse {
         let request = match PlatformClients::job(call) {
             Ok(request) => request,
             Err(error) => {
@@ -91,22 +93,22 @@
                 guard.answered = true;
                 PlatformClients::answer(answer)
             }
-            Err(_) => PlatformClients::answer(Answer::GivenUp(GiveUpReason::Isolated)),
+            Err(_) => PlatformClients::answer(JobOutcome::GivenUp(GiveUpReason::Isolated)),
         }
     }
 
     /// Counts and writes down that a call gets no further.
-    fn turn_away(&self, call: &HttpCall, reason: &'static str) {
+    fn turn_away(&self, call: &HttpRequest, reason: &'static str) {
         self.metrics.count(Counter::Refusals, reason);
-        let refused = ProcessNote::CallRefused {
+        let refused = ProcessLogEvent::CallRefused {
             call: format!("{} {}{}", call.method, call.host, call.path),
             reason,
             config_version: self.state.config().map_or(0, |config| config.version),
         };
-        note(&*self.decisions, LineRank::Routine, &refused);
+        log_decision(&*self.decisions, LogPriority::Routine, &refused);
     }
 
-    async fn pending(&self, route: &Route) -> HttpAnswer {
+    async fn pending(&self, route: &Route) -> HttpResponse {
         let (count, counted) = oneshot::channel();
         let route = route.name.clone();
         let sent = self.inputs.send(LoopInput::CountPending { route, count });
@@ -116,7 +118,7 @@
         }
     }
 
-    async fn answer_call(&self, call: &HttpCall) -> HttpAnswer {
+    async fn answer_call(&self, call: &HttpRequest) -> HttpResponse {
         let Some(config) = self.state.config() else {
             self.turn_away(call, "no_configuration");
             return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
@@ -137,7 +139,7 @@
 
 #[async_trait]
 impl HttpHandler for Front {
-    async fn answer(&self, call: HttpCall) -> HttpAnswer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         let answer = self.answer_call(&call).await;
         if self.state.is_leaving() {
             // The client's next call then goes to another entry, over a new connection.
--- a/src/site_entry/listing.rs
+++ b/src/site_entry/listing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::store_watch::StoreWatch,
-    crate::ports::{DecisionLog, ListCopy, Metrics, SiteStore},
+    crate::ports::{DecisionLog, EntryListReplica, Metrics, SiteStore},
     std::{
         collections::BTreeMap,
         net::SocketAddr,
@@ -19,12 +19,12 @@
     /// Where agents reach this entry.
     pub(super) entry: SocketAddr,
     /// Versions of the rows that this process has made.
-    pub(super) rows: Mutex<BTreeMap<ListCopy, u64>>,
+    pub(super) rows: Mutex<BTreeMap<EntryListReplica, u64>>,
 }
 
 impl Listing {
     /// Puts the entry into one copy, however often that must be tried.
-    pub(super) async fn join(self: Arc<Self>, copy: ListCopy) {
+    pub(super) async fn join(self: Arc<Self>, copy: EntryListReplica) {
         let mut watch = StoreWatch::new("join", &self.decisions, &self.metrics);
         loop {
             match self.store.add_entry(self.entry, copy).await {
--- a/src/site_entry/mod.rs
+++ b/src/site_entry/mod.rs
@@ -3,8 +3,8 @@
 mod dispatch_loop;
 mod front;
 mod listing;
-mod news_keeper;
-mod process_note;
+mod operator_rows_watcher;
+mod process_log_event;
 mod ready_probe;
 mod run;
 mod site_process;
@@ -14,4 +14,6 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use {process_note::ProcessNote, run::run_site_entry, site_process::SiteProcess};
+pub(crate) use {
+    process_log_event::ProcessLogEvent, run::run_site_entry, site_process::SiteProcess,
+};
