--- a/src/site_entry/news_keeper.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -2,16 +2,18 @@
 
 use {
     super::{
-        dispatch_loop::LoopInput, process_note::ProcessNote, state::EntryState,
+        dispatch_loop::LoopInput, process_log_event::ProcessLogEvent, state::EntryState,
         store_watch::StoreWatch,
     },
     crate::{
         adapters::timer::Backoff,
-        core::{dispatch::DispatchEvent, document::Document, link::News, routes::SiteConfig},
+        core::{
+            dispatch::DispatchEvent, document::Document, link::EvacuatedZones, routes::SiteConfig,
+        },
         platform::read_config,
         ports::{
-            Counter, DecisionLog, FeedCursor, LineRank, Metrics, OperatorChange, OperatorRows,
-            SiteStore, note,
+            Counter, DecisionLog, FeedCursor, LogPriority, Metrics, OperatorChange, OperatorRows,
+            SiteStore, log_decision,
         },
     },
     std::{
@@ -37,14 +39,14 @@
 /// What is known of the operators' rows.
 #[derive(Debug, Default)]
 pub(super) struct KnownRows {
-    news: Option<News>,
+    news: Option<EvacuatedZones>,
     /// Revision of the newest document; zero without one.
     revision: u64,
 }
 
 /// Reads what operators have set, passes it on, and remembers the newest.
 #[derive(Debug)]
-pub(super) struct NewsKeeper {
+pub(super) struct OperatorRowsWatcher {
     pub(super) store: Arc<dyn SiteStore>,
     pub(super) state: Arc<EntryState>,
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
@@ -53,7 +55,7 @@
     pub(super) known: Mutex<KnownRows>,
 }
 
-impl NewsKeeper {
+impl OperatorRowsWatcher {
     /// Follows the operators' rows for as long as the process lives.
     pub(super) async fn follow(self: Arc<Self>) {
         let mut watch = StoreWatch::new("news", &self.decisions, &self.metrics);
@@ -64,7 +66,7 @@
                 Ok(rows) => {
                     watch.regained();
                     self.note_read(&rows, begun_at);
-                    let version = rows.news.version;
+                    let version = rows.zones.version;
                     self.take_rows(rows);
                     self.follow_changes(version, &mut watch, &mut pause).await;
                     pause.wait().await;
@@ -111,7 +113,7 @@
         if let Some(document) = rows.document {
             self.take_document(document, "store");
         }
-        self.take_news(rows.news, "store");
+        self.take_news(rows.zones, "store");
     }
 
     fn take_changes(
@@ -136,15 +138,15 @@
                 evacuated.remove(&zone);
             }
         }
-        self.replace_news(&mut known, News { version, evacuated }, "store");
+        self.replace_news(&mut known, EvacuatedZones { version, evacuated }, "store");
     }
 
     /// Goes by news unless newer ones are known.
-    pub(super) fn take_news(&self, news: News, source: &'static str) {
+    pub(super) fn take_news(&self, news: EvacuatedZones, source: &'static str) {
         self.replace_news(&mut self.known(), news, source);
     }
 
-    fn replace_news(&self, known: &mut KnownRows, news: News, source: &'static str) {
+    fn replace_news(&self, known: &mut KnownRows, news: EvacuatedZones, source: &'static str) {
         if !news.is_newer_than(known.news.as_ref()) {
             let known_version = known.news.as_ref().map_or(0, |known| known.version);
             self.note_left_aside("news", news.version, known_version, source);
@@ -153,7 +155,9 @@
         // The loop ends only with the process.
         let _ = self
             .inputs
-            .send(LoopInput::Event(DispatchEvent::News(news.clone())));
+            .send(LoopInput::Event(DispatchEvent::EvacuatedZones(
+                news.clone(),
+            )));
         known.news = Some(news);
     }
 
@@ -169,8 +173,8 @@
             Ok(config) => self.put_in_force(config, document.revision, source),
             Err(error) => {
                 let cause = error.to_string();
-                let unreadable = ProcessNote::ConfigUnreadable { cause };
-                note(&*self.decisions, LineRank::Notable, &unreadable);
+                let unreadable = ProcessLogEvent::ConfigUnreadable { cause };
+                log_decision(&*self.decisions, LogPriority::Notable, &unreadable);
             }
         }
         // The loop ends only with the process.
@@ -189,7 +193,7 @@
             self.note_left_aside("config", config.version, newer.version, source);
             return;
         }
-        let in_force = ProcessNote::ConfigInForce {
+        let in_force = ProcessLogEvent::ConfigInForce {
             version: config.version,
             revision,
             routes: config.routes.len(),
@@ -197,7 +201,7 @@
             source,
         };
         self.state.set_config(config);
-        note(&*self.decisions, LineRank::Notable, &in_force);
+        log_decision(&*self.decisions, LogPriority::Notable, &in_force);
     }
 
     fn count_read(&self, document: &Document) {
@@ -210,13 +214,13 @@
             self.count_read(document);
         }
         let document = rows.document.as_ref();
-        let read = ProcessNote::NewsRead {
-            store_version: rows.news.version,
+        let read = ProcessLogEvent::NewsRead {
+            store_version: rows.zones.version,
             revision: document.map_or(0, |document| document.revision),
             took_ms: u64::try_from(begun_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             document_bytes: document.map_or(0, |document| document.text.len()),
         };
-        note(&*self.decisions, LineRank::Notable, &read);
+        log_decision(&*self.decisions, LogPriority::Notable, &read);
     }
 
     /// Notes what is older than what is known; the same again is the usual course.
@@ -230,12 +234,12 @@
         if version == known_version {
             return;
         }
-        let left_aside = ProcessNote::NewsLeftAside {
+        let left_aside = ProcessLogEvent::NewsLeftAside {
             what,
             version,
             known_version,
             source,
         };
-        note(&*self.decisions, LineRank::Notable, &left_aside);
+        log_decision(&*self.decisions, LogPriority::Notable, &left_aside);
     }
 }
--- a/src/site_entry/process_note.rs
+++ b/src/site_entry/process_log_event.rs
@@ -5,7 +5,7 @@
 /// One event of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub(crate) enum ProcessNote {
+pub(crate) enum ProcessLogEvent {
     /// It has begun to serve.
     Started {
         /// Its version.
--- a/src/site_entry/ready_probe.rs
+++ b/src/site_entry/ready_probe.rs
@@ -3,7 +3,7 @@
 use {
     super::state::EntryState,
     crate::{
-        adapters::http::{HttpAnswer, HttpCall, HttpHandler},
+        adapters::http::{HttpHandler, HttpRequest, HttpResponse},
         ports::Metrics,
     },
     async_trait::async_trait,
@@ -22,11 +22,11 @@
 
 #[async_trait]
 impl HttpHandler for ReadyProbe {
-    async fn answer(&self, _: HttpCall) -> HttpAnswer {
+    async fn handle(&self, _: HttpRequest) -> HttpResponse {
         if self.state.is_ready() {
-            HttpAnswer::empty(StatusCode::OK)
+            HttpResponse::empty(StatusCode::OK)
         } else {
-            HttpAnswer::empty(StatusCode::SERVICE_UNAVAILABLE)
+            HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE)
         }
     }
 }
@@ -40,11 +40,11 @@
 
 #[async_trait]
 impl HttpHandler for ServiceProbe {
-    async fn answer(&self, call: HttpCall) -> HttpAnswer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         if call.path == METRICS_PATH {
-            HttpAnswer::text(StatusCode::OK, self.metrics.render())
+            HttpResponse::text(StatusCode::OK, self.metrics.render())
         } else {
-            HttpAnswer::empty(StatusCode::NOT_FOUND)
+            HttpResponse::empty(StatusCode::NOT_FOUND)
         }
     }
 }
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -5,8 +5,8 @@
         dispatch_loop::{DispatchLoop, LoopInput},
         front::Front,
         listing::Listing,
-        news_keeper::NewsKeeper,
-        process_note::ProcessNote,
+        operator_rows_watcher::OperatorRowsWatcher,
+        process_log_event::ProcessLogEvent,
         ready_probe::ReadyProbe,
         site_process::SiteProcess,
         state::EntryState,
@@ -23,7 +23,7 @@
             dispatch::{DispatchEvent, DispatchSettings, Dispatcher},
             work::RunLimits,
         },
-        ports::ListCopy,
+        ports::EntryListReplica,
     },
     std::{
         collections::BTreeMap,
@@ -53,8 +53,8 @@
 }
 
 impl Shared {
-    fn news_keeper(&self) -> Arc<NewsKeeper> {
-        Arc::new(NewsKeeper {
+    fn operator_rows_watcher(&self) -> Arc<OperatorRowsWatcher> {
+        Arc::new(OperatorRowsWatcher {
             store: Arc::clone(&self.process.store),
             state: Arc::clone(&self.state),
             inputs: self.inputs.clone(),
@@ -74,7 +74,7 @@
         })
     }
 
-    fn dispatch_loop(&self, limits: RunLimits, news: Arc<NewsKeeper>) -> DispatchLoop {
+    fn dispatch_loop(&self, limits: RunLimits, news: Arc<OperatorRowsWatcher>) -> DispatchLoop {
         DispatchLoop {
             dispatcher: Dispatcher::new(DispatchSettings {
                 limits,
@@ -131,7 +131,7 @@
         state: Arc::new(EntryState::default()),
         inputs,
     };
-    let news = shared.news_keeper();
+    let news = shared.operator_rows_watcher();
     let listing = shared.listing(settings.link_addr);
     let dispatch = shared.dispatch_loop(settings.site.limits, Arc::clone(&news));
     let agents = listen(settings.link_listen).await?;
@@ -144,7 +144,7 @@
         Arc::clone(&shared.process.metrics),
     ));
     tokio::spawn(news.follow());
-    for copy in ListCopy::ALL {
+    for copy in EntryListReplica::ALL {
         tokio::spawn(Arc::clone(&listing).join(copy));
     }
     tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
@@ -187,7 +187,7 @@
     async fn run(self) {
         let begun_at = Instant::now();
         let open = self.open_jobs().await;
-        self.shared.process.note(&ProcessNote::Stopping {
+        self.shared.process.log_event(&ProcessLogEvent::Stopping {
             open,
             grace_ms: self.grace_ms,
         });
@@ -196,7 +196,7 @@
         let _ = self
             .shared
             .inputs
-            .send(LoopInput::Event(DispatchEvent::Leave));
+            .send(LoopInput::Event(DispatchEvent::Shutdown));
         let last_at = begun_at + Duration::from_millis(self.grace_ms.saturating_sub(LAST_MS));
         let balanced_at = begun_at + Duration::from_millis(BALANCER_MS);
         sleep_until(balanced_at.min(last_at)).await;
@@ -207,7 +207,9 @@
         // Answers that were just given are still on their way out.
         sleep(Duration::from_millis(LOOK_MS)).await;
         let open = self.open_jobs().await;
-        self.shared.process.note(&ProcessNote::Stopped { open });
+        self.shared
+            .process
+            .log_event(&ProcessLogEvent::Stopped { open });
         sleep(Duration::from_millis(LOOK_MS)).await;
     }
 }
--- a/src/site_entry/site_process.rs
+++ b/src/site_entry/site_process.rs
@@ -1,7 +1,7 @@
 //! What entries and agents on a site have in common.
 
 use {
-    super::{process_note::ProcessNote, ready_probe::ServiceProbe},
+    super::{process_log_event::ProcessLogEvent, ready_probe::ServiceProbe},
     crate::{
         adapters::{
             http::{HttpHandler, serve_http},
@@ -11,7 +11,7 @@
         cli::{RunError, listen},
         conf::SiteSettings,
         platform::{PlatformCaller, RowsStore},
-        ports::{DecisionLog, LineRank, Metrics, SiteStore, note},
+        ports::{DecisionLog, LogPriority, Metrics, SiteStore, log_decision},
     },
     std::sync::Arc,
     tokio::sync::watch,
@@ -55,13 +55,13 @@
     }
 
     /// Writes a change of the process itself down.
-    pub(crate) fn note(&self, change: &ProcessNote) {
-        note(&*self.decisions, LineRank::Notable, change);
+    pub(crate) fn log_event(&self, change: &ProcessLogEvent) {
+        log_decision(&*self.decisions, LogPriority::Notable, change);
     }
 
     /// Writes down that the process has begun.
     pub(crate) fn note_started(&self, site: &SiteSettings) {
-        self.note(&ProcessNote::Started {
+        self.log_event(&ProcessLogEvent::Started {
             version: env!("CARGO_PKG_VERSION"),
             availability_zone: site.availability_zone.clone(),
         });
--- a/src/site_entry/store_watch.rs
+++ b/src/site_entry/store_watch.rs
@@ -1,10 +1,10 @@
 //! Tells when calls of one kind to the store begin to fail and when they work again.
 
 use {
-    super::process_note::ProcessNote,
+    super::process_log_event::ProcessLogEvent,
     crate::{
         adapters::timer::Backoff,
-        ports::{Counter, DecisionLog, LineRank, Metrics, StoreError, note},
+        ports::{Counter, DecisionLog, LogPriority, Metrics, StoreError, log_decision},
     },
     std::{sync::Arc, time::Instant},
 };
@@ -48,8 +48,8 @@
         if let Some(lost_at) = self.lost_at.take() {
             let away_ms = u64::try_from(lost_at.elapsed().as_millis()).unwrap_or(u64::MAX);
             let call = self.call;
-            let regained = ProcessNote::StoreRegained { call, away_ms };
-            note(&*self.decisions, LineRank::Notable, &regained);
+            let regained = ProcessLogEvent::StoreRegained { call, away_ms };
+            log_decision(&*self.decisions, LogPriority::Notable, &regained);
         }
     }
 
@@ -62,11 +62,11 @@
         self.metrics.count(Counter::StoreCalls, outcome);
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
-            let lost = ProcessNote::StoreLost {
+            let lost = ProcessLogEvent::StoreLost {
                 call: self.call,
                 cause: error.to_string(),
             };
-            note(&*self.decisions, LineRank::Notable, &lost);
+            log_decision(&*self.decisions, LogPriority::Notable, &lost);
         }
         self.backoff.wait().await;
     }
--- a/src/site_entry/tests/fakes.rs
+++ b/src/site_entry/tests/fakes.rs
@@ -4,8 +4,8 @@
     crate::{
         core::work::WorkerView,
         ports::{
-            Change, Counter, DecisionLog, Gauge, LineRank, ListCopy, Metrics, OperatorChange,
-            OperatorRows, SiteStore, Span, StoreError,
+            Counter, DecisionLog, EntryListChange, EntryListReplica, Gauge, LogPriority, Metrics,
+            OperatorChange, OperatorRows, SiteStore, Span, StoreError,
         },
     },
     async_trait::async_trait,
@@ -34,7 +34,7 @@
 pub(super) struct NoLines;
 
 impl DecisionLog for NoLines {
-    fn write(&self, _: LineRank, _: Value) {}
+    fn write(&self, _: LogPriority, _: Value) {}
 }
 
 /// A store that never answers.
@@ -55,19 +55,27 @@
         away()
     }
 
-    async fn read_entries(&self, _: ListCopy) -> Result<(Vec<SocketAddr>, u64), StoreError> {
+    async fn read_entries(
+        &self,
+        _: EntryListReplica,
+    ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
         away()
     }
 
-    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<Change, StoreError> {
+    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<EntryListChange, StoreError> {
         away()
     }
 
-    async fn add_entry(&self, _: SocketAddr, _: ListCopy) -> Result<u64, StoreError> {
+    async fn add_entry(&self, _: SocketAddr, _: EntryListReplica) -> Result<u64, StoreError> {
         away()
     }
 
-    async fn remove_entry(&self, _: SocketAddr, _: ListCopy, _: u64) -> Result<(), StoreError> {
+    async fn remove_entry(
+        &self,
+        _: SocketAddr,
+        _: EntryListReplica,
+        _: u64,
+    ) -> Result<(), StoreError> {
         away()
     }
 
@@ -75,7 +83,7 @@
         away()
     }
 
-    async fn keep_worker(&self, _: &str, _: &WorkerView) -> Result<(), StoreError> {
+    async fn store_worker(&self, _: &str, _: &WorkerView) -> Result<(), StoreError> {
         away()
     }
 }
--- a/src/site_entry/tests/news.rs
+++ b/src/site_entry/tests/news.rs
@@ -3,9 +3,9 @@
 use {
     super::fakes::{NoLines, NoMetrics, NoStore},
     crate::{
-        core::{document::Document, link::News},
+        core::{document::Document, link::EvacuatedZones},
         ports::OperatorRows,
-        site_entry::{news_keeper::NewsKeeper, state::EntryState},
+        site_entry::{operator_rows_watcher::OperatorRowsWatcher, state::EntryState},
     },
     std::{
         collections::BTreeSet,
@@ -18,7 +18,7 @@
 fn news(version: u64, config_version: Option<u64>) -> OperatorRows {
     let text = config_version.map(|version| format!(r#"{{"version":{version}}}"#));
     OperatorRows {
-        news: News {
+        zones: EvacuatedZones {
             version,
             evacuated: BTreeSet::new(),
         },
@@ -33,7 +33,7 @@
 fn in_force_after(taken: &[OperatorRows]) -> Option<u64> {
     let state = Arc::new(EntryState::default());
     let (inputs, _kept) = mpsc::unbounded_channel();
-    let keeper = NewsKeeper {
+    let keeper = OperatorRowsWatcher {
         store: Arc::new(NoStore),
         state: Arc::clone(&state),
         inputs,
@@ -42,7 +42,7 @@
         known: Mutex::default(),
     };
     for rows in taken {
-        keeper.take_news(rows.news.clone(), "test");
+        keeper.take_news(rows.zones.clone(), "test");
         if let Some(document) = rows.document.clone() {
             keeper.take_document(document, "test");
         }
--- a/src/site_entry/tests/site/agent_model.rs
+++ b/src/site_entry/tests/site/agent_model.rs
@@ -73,7 +73,7 @@
                 ExecutionAction::Close { session } => {
                     outgoing.remove(&session);
                 }
-                ExecutionAction::Cleared { session } => {
+                ExecutionAction::SessionDrained { session } => {
                     outgoing.remove(&session);
                     if let Some(cleared) = clearing.remove(&session) {
                         let _: Result<(), _> = cleared.send(());
--- a/src/site_entry/tests/site/entry_model.rs
+++ b/src/site_entry/tests/site/entry_model.rs
@@ -11,10 +11,10 @@
             dispatch::{DispatchSettings, Dispatcher},
             work::RunLimits,
         },
-        ports::{DecisionLog, LineRank},
+        ports::{DecisionLog, LogPriority},
         site_entry::{
             dispatch_loop::{AgentLink, DispatchLoop},
-            news_keeper::NewsKeeper,
+            operator_rows_watcher::OperatorRowsWatcher,
             state::EntryState,
             tests::fakes::NoMetrics,
         },
@@ -32,7 +32,7 @@
 struct ZoneLines(Mutex<BTreeSet<String>>);
 
 impl DecisionLog for ZoneLines {
-    fn write(&self, _: LineRank, line: Value) {
+    fn write(&self, _: LogPriority, line: Value) {
         if line["event"] == "news_in_force" {
             let zones = serde_json::from_value(line["evacuated"].clone());
             *self.0.lock().expect("lock") = zones.expect("zones");
@@ -69,7 +69,7 @@
             host: Arc::clone(host),
             number,
         };
-        let news = Arc::new(NewsKeeper {
+        let news = Arc::new(OperatorRowsWatcher {
             store: Arc::new(client),
             state: Arc::clone(&state),
             inputs: inputs.clone(),
--- a/src/site_entry/tests/site/store_model.rs
+++ b/src/site_entry/tests/site/store_model.rs
@@ -3,8 +3,10 @@
 use {
     super::host_model::{HostModel, windows},
     crate::{
-        core::{document::Document, link::News, work::WorkerView},
-        ports::{Change, ListCopy, OperatorChange, OperatorRows, SiteStore, StoreError},
+        core::{document::Document, link::EvacuatedZones, work::WorkerView},
+        ports::{
+            EntryListChange, EntryListReplica, OperatorChange, OperatorRows, SiteStore, StoreError,
+        },
     },
     async_trait::async_trait,
     std::{
@@ -86,7 +88,7 @@
 impl StoreModel {
     pub(super) fn new(document: Arc<[u8]>) -> Self {
         let now = Instant::now();
-        let news = News {
+        let zones = EvacuatedZones {
             version: 1,
             evacuated: BTreeSet::new(),
         };
@@ -94,7 +96,7 @@
             revision: 1,
             text: document,
         });
-        let rows = OperatorRows { news, document };
+        let rows = OperatorRows { zones, document };
         Self {
             state: Mutex::new(StoreState {
                 rows: vec![Rows { since: now, rows }],
@@ -125,7 +127,7 @@
     fn write(&self, change: impl FnOnce(&mut OperatorRows)) {
         let mut rows = self.newest();
         // Rows of other tables count as well.
-        rows.news.version += 3;
+        rows.zones.version += 3;
         change(&mut rows);
         let since = Instant::now();
         self.state().rows.push(Rows { since, rows });
@@ -134,17 +136,17 @@
 
     pub(super) fn write_document(&self, text: Arc<[u8]>) {
         self.write(|rows| {
-            let revision = rows.news.version;
+            let revision = rows.zones.version;
             rows.document = Some(Document { revision, text });
         });
     }
 
     pub(super) fn write_zones(&self, zones: &BTreeSet<String>) {
-        self.write(|rows| rows.news.evacuated.clone_from(zones));
+        self.write(|rows| rows.zones.evacuated.clone_from(zones));
     }
 
     pub(super) fn forget_history(&self) {
-        let forgotten = self.newest().news.version;
+        let forgotten = self.newest().zones.version;
         let mut state = self.state();
         state.forgotten = forgotten;
         state.disturbed_at = state.disturbed_at.max(Instant::now());
@@ -263,7 +265,7 @@
         }
         if self.store.faults().contains(&StoreFault::FeedsMissChanges) {
             sleep(Duration::from_millis(wait_ms)).await;
-            let version = self.store.newest().news.version;
+            let version = self.store.newest().zones.version;
             return Ok(OperatorChange::None { version });
         }
         let waiting = async {
@@ -282,14 +284,14 @@
 
     fn change_after(&self, after: u64) -> OperatorChange {
         let (newest, forgotten) = (self.store.newest(), self.store.state().forgotten);
-        let version = newest.news.version;
+        let version = newest.zones.version;
         if after < forgotten {
             return OperatorChange::Forgotten;
         }
         if version <= after {
             return OperatorChange::None { version };
         }
-        let is_out = newest.news.evacuated.contains(ZONE);
+        let is_out = newest.zones.evacuated.contains(ZONE);
         OperatorChange::Rows {
             version,
             zones: BTreeMap::from([(ZONE.to_owned(), is_out)]),
@@ -320,19 +322,27 @@
         Ok(change)
     }
 
-    async fn read_entries(&self, _: ListCopy) -> Result<(Vec<SocketAddr>, u64), StoreError> {
+    async fn read_entries(
+        &self,
+        _: EntryListReplica,
+    ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
         refused()
     }
 
-    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<Change, StoreError> {
+    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<EntryListChange, StoreError> {
         refused()
     }
 
-    async fn add_entry(&self, _: SocketAddr, _: ListCopy) -> Result<u64, StoreError> {
+    async fn add_entry(&self, _: SocketAddr, _: EntryListReplica) -> Result<u64, StoreError> {
         refused()
     }
 
-    async fn remove_entry(&self, _: SocketAddr, _: ListCopy, _: u64) -> Result<(), StoreError> {
+    async fn remove_entry(
+        &self,
+        _: SocketAddr,
+        _: EntryListReplica,
+        _: u64,
+    ) -> Result<(), StoreError> {
         refused()
     }
 
@@ -340,7 +350,7 @@
         refused()
     }
 
-    async fn keep_worker(&self, _: &str, _: &WorkerView) -> Result<(), StoreError> {
+    async fn store_worker(&self, _: &str, _: &WorkerView) -> Result<(), StoreError> {
         refused()
     }
 }
--- a/src/standin/jobs.rs
+++ b/src/standin/jobs.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         adapters::http::{
-            HttpClient, HttpReply, NEXT_TICKET_HEADER, TICKET_HEADER, VERDICT_HEADER,
+            HttpClient, HttpClientResponse, NEXT_TICKET_HEADER, TICKET_HEADER, VERDICT_HEADER,
         },
         cli::{JobsArgs, RunError},
     },
@@ -31,7 +31,7 @@
 struct Tickets(Mutex<VecDeque<(Instant, String)>>);
 
 impl Tickets {
-    fn put(&self, reply: &HttpReply) {
+    fn put(&self, reply: &HttpClientResponse) {
         let ticket = reply.header(NEXT_TICKET_HEADER);
         if !ticket.is_empty() {
             let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/standin/site_store.rs
+++ b/src/standin/site_store.rs
@@ -3,7 +3,7 @@
 use {
     super::rows_model::{Applied, FeedPage, RowName, RowsModel, StoredRow},
     crate::{
-        adapters::http::{HttpAnswer, HttpCall, HttpHandler, serve_http},
+        adapters::http::{HttpHandler, HttpRequest, HttpResponse, serve_http},
         cli::{PlatformArgs, RunError, stop_signal},
         core::routes::HttpLimits,
     },
@@ -103,7 +103,7 @@
 }
 
 /// A value of the query, empty if absent.
-fn query<'a>(call: &'a HttpCall, field: &str) -> &'a str {
+fn query<'a>(call: &'a HttpRequest, field: &str) -> &'a str {
     let mut fields = call
         .query
         .split('&')
@@ -114,7 +114,7 @@
 }
 
 /// The parts that a call reads or writes.
-fn parts(call: &HttpCall) -> Vec<String> {
+fn parts(call: &HttpRequest) -> Vec<String> {
     match call.path.as_str() {
         "/v1/rows-get" => vec![query(call, "part").to_owned()],
         "/v1/rows-tx" => {
@@ -136,21 +136,21 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set_faults(&self, call: &HttpCall) -> HttpAnswer {
+    fn set_faults(&self, call: &HttpRequest) -> HttpResponse {
         let Ok(faults) = serde_json::from_slice::<StoreFaults>(&call.body) else {
-            return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+            return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         if faults.forget_history {
             self.rows().forget_history();
             self.changed.notify_waiters();
         }
         *self.faults() = faults;
-        HttpAnswer::empty(StatusCode::OK)
+        HttpResponse::empty(StatusCode::OK)
     }
 
-    fn transact(&self, call: &HttpCall) -> HttpAnswer {
+    fn transact(&self, call: &HttpRequest) -> HttpResponse {
         let Ok(body) = serde_json::from_slice::<TransactionBody>(&call.body) else {
-            return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+            return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let expected: Vec<_> = body
             .expect_rev
@@ -170,10 +170,10 @@
         };
         self.changed.notify_waiters();
         let body = json!({"ver": rows.version(), "now_ms": 0});
-        HttpAnswer::json(status, body.to_string())
+        HttpResponse::json(status, body.to_string())
     }
 
-    fn read(&self, call: &HttpCall) -> HttpAnswer {
+    fn read(&self, call: &HttpRequest) -> HttpResponse {
         let rows = self.rows();
         let page = rows.rows(query(call, "table"), query(call, "part"));
         let page: Vec<Value> = page
@@ -181,11 +181,11 @@
             .map(|(name, row)| row_json(name, Some(row)))
             .collect();
         let body = json!({"rows": page, "truncated": false, "ver": rows.version(), "now_ms": 0});
-        HttpAnswer::json(StatusCode::OK, body.to_string())
+        HttpResponse::json(StatusCode::OK, body.to_string())
     }
 
     /// The changes after a version, as soon as there is one or the wait is over.
-    async fn feed(&self, call: &HttpCall) -> HttpAnswer {
+    async fn feed(&self, call: &HttpRequest) -> HttpResponse {
         let number = |field| query(call, field).parse::<u64>().unwrap_or(0);
         let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms")));
         let waiting = async {
@@ -199,27 +199,27 @@
         };
         let nothing = || {
             let body = json!({"rows": [], "ver": self.rows().version(), "now_ms": 0});
-            HttpAnswer::json(StatusCode::OK, body.to_string())
+            HttpResponse::json(StatusCode::OK, body.to_string())
         };
         timeout(wait, waiting).await.unwrap_or_else(|_| nothing())
     }
 
-    fn feed_page(&self, table: &str, after: u64) -> Option<HttpAnswer> {
+    fn feed_page(&self, table: &str, after: u64) -> Option<HttpResponse> {
         let rows = self.rows();
         match rows.feed(table, after) {
-            FeedPage::Forgotten => Some(HttpAnswer::empty(StatusCode::GONE)),
+            FeedPage::Forgotten => Some(HttpResponse::empty(StatusCode::GONE)),
             FeedPage::Changes(page) if page.is_empty() => None,
             FeedPage::Changes(page) => {
                 let page = page.iter().map(|(name, row)| row_json(name, row.as_ref()));
                 let page: Vec<Value> = page.collect();
                 let body = json!({"rows": page, "ver": rows.version(), "now_ms": 0});
-                Some(HttpAnswer::json(StatusCode::OK, body.to_string()))
+                Some(HttpResponse::json(StatusCode::OK, body.to_string()))
             }
         }
     }
 
     /// Waits as the faults say; `Some` if the call gets no further.
-    async fn hindrance(&self, call: &HttpCall) -> Option<HttpAnswer> {
+    async fn hindrance(&self, call: &HttpRequest) -> Option<HttpResponse> {
         let faults = self.faults().clone();
         sleep(Duration::from_millis(faults.slow_ms)).await;
         if faults.silent {
@@ -227,7 +227,7 @@
         }
         let is_down = |part: &String| parts(call).contains(part);
         (faults.down || faults.down_parts.iter().any(is_down))
-            .then(|| HttpAnswer::empty(StatusCode::SERVICE_UNAVAILABLE))
+            .then(|| HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE))
     }
 
     fn loses_answer(&self) -> bool {
@@ -240,7 +240,7 @@
 
 #[async_trait]
 impl HttpHandler for SiteStore {
-    async fn answer(&self, call: HttpCall) -> HttpAnswer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         if call.path == "/faults" {
             return self.set_faults(&call);
         }
@@ -257,7 +257,7 @@
             }
             (&Method::GET, "/v1/rows-get") => self.read(&call),
             (&Method::GET, "/v1/rows-feed") => self.feed(&call).await,
-            _ => HttpAnswer::empty(StatusCode::NOT_FOUND),
+            _ => HttpResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 
--- a/src/standin/site_worker.rs
+++ b/src/standin/site_worker.rs
@@ -7,13 +7,13 @@
     super::worker_model::WorkerModel,
     crate::{
         adapters::{
-            http::{HttpAnswer, HttpCall, HttpClient, HttpHandler, serve_http},
+            http::{HttpClient, HttpHandler, HttpRequest, HttpResponse, serve_http},
             timer::BootTimer,
         },
         cli::{RunError, SiteWorkerArgs, stop_signal},
         core::{
-            execution::{HoldAnswer, HoldCall, StartAnswer, StartCall, StopCall},
-            link::RunEnd,
+            execution::{HoldCall, HoldResponse, StartCall, StartResponse, StopCall},
+            link::RunOutcome,
             work::{JobId, TaskId},
         },
         ports::TimerService,
@@ -216,9 +216,9 @@
         self.send(path, "{}".to_owned()).await;
     }
 
-    fn start(&self, body: &OrderBody) -> HttpAnswer {
+    fn start(&self, body: &OrderBody) -> HttpResponse {
         let Some(task) = read_task(&body.task) else {
-            return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+            return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let mut words = body.spec.split(' ');
         let run_ms = words
@@ -227,7 +227,11 @@
             .unwrap_or(USUAL_RUN_MS);
         let fails = words.next() == Some("fail")
             || rand::rng().random_range(0..100) < self.faults().fail_percent;
-        let how = if fails { RunEnd::Failed } else { RunEnd::Done };
+        let how = if fails {
+            RunOutcome::Failed
+        } else {
+            RunOutcome::Done
+        };
         let call = StartCall {
             worker: self.args.id.clone(),
             task,
@@ -239,27 +243,29 @@
         let (answer, _) = self.model().start(BootTimer.now(), &call, run_ms, how);
         self.tell_changes();
         let reason = match answer {
-            StartAnswer::Accepted => return self.answer(StatusCode::OK, None),
-            StartAnswer::Fenced => "fence",
-            StartAnswer::NumberUsed => "old",
-            StartAnswer::Late => "late",
-            StartAnswer::NoRoom => "room",
-            StartAnswer::Unhealthy | StartAnswer::Rejected | StartAnswer::Unanswered => "other",
+            StartResponse::Accepted => return self.answer(StatusCode::OK, None),
+            StartResponse::Fenced => "fence",
+            StartResponse::NumberUsed => "old",
+            StartResponse::Late => "late",
+            StartResponse::NoRoom => "room",
+            StartResponse::Unhealthy | StartResponse::Rejected | StartResponse::Unanswered => {
+                "other"
+            }
         };
         self.answer(StatusCode::CONFLICT, Some(reason))
     }
 
-    fn answer(&self, status: StatusCode, reason: Option<&str>) -> HttpAnswer {
+    fn answer(&self, status: StatusCode, reason: Option<&str>) -> HttpResponse {
         let mut body = json!({"clock_ms": self.model().clock_ms(BootTimer.now())});
         if let Some(reason) = reason {
             body["reason"] = json!(reason);
         }
-        HttpAnswer::json(status, body.to_string())
+        HttpResponse::json(status, body.to_string())
     }
 
-    fn stop(&self, body: &OrderBody) -> HttpAnswer {
+    fn stop(&self, body: &OrderBody) -> HttpResponse {
         let Some(task) = read_task(&body.task) else {
-            return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+            return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let call = StopCall {
             worker: self.args.id.clone(),
@@ -277,7 +283,7 @@
     }
 
     /// Answers with both lists, at once or as soon as something has ended.
-    async fn hold(&self, body: &OrderBody) -> HttpAnswer {
+    async fn hold(&self, body: &OrderBody) -> HttpResponse {
         let until = Instant::now() + Duration::from_millis(body.wait_ms);
         let call = HoldCall {
             sequence: 0,
@@ -290,7 +296,7 @@
         loop {
             self.tell_changes();
             let answer = self.model().hold(BootTimer.now(), &call);
-            let HoldAnswer::Lists {
+            let HoldResponse::Lists {
                 clock_ms,
                 running,
                 ended,
@@ -321,32 +327,32 @@
                 "running": running.collect::<Vec<_>>(),
                 "finished": finished.collect::<Vec<_>>(),
             });
-            return HttpAnswer::json(StatusCode::OK, lists.to_string());
+            return HttpResponse::json(StatusCode::OK, lists.to_string());
         }
     }
 
-    async fn carry_out(&self, call: &HttpCall) -> HttpAnswer {
+    async fn carry_out(&self, call: &HttpRequest) -> HttpResponse {
         let Ok(body) = serde_json::from_slice::<OrderBody>(&call.body) else {
-            return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+            return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         match call.path.as_str() {
             "/v1/run-start" => self.start(&body),
             "/v1/run-stop" => self.stop(&body),
             "/v1/hold" => self.hold(&body).await,
-            _ => HttpAnswer::empty(StatusCode::NOT_FOUND),
+            _ => HttpResponse::empty(StatusCode::NOT_FOUND),
         }
     }
 }
 
 #[async_trait]
 impl HttpHandler for SiteWorker {
-    async fn answer(&self, call: HttpCall) -> HttpAnswer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         if call.path == "/faults" {
             let Ok(faults) = serde_json::from_slice(&call.body) else {
-                return HttpAnswer::empty(StatusCode::BAD_REQUEST);
+                return HttpResponse::empty(StatusCode::BAD_REQUEST);
             };
             *self.faults() = faults;
-            return HttpAnswer::empty(StatusCode::OK);
+            return HttpResponse::empty(StatusCode::OK);
         }
         let faults = *self.faults();
         if faults.cut {
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -2,10 +2,12 @@
 
 use {
     crate::core::{
-        execution::{HoldAnswer, HoldCall, ListedEnd, ListedRun, StartAnswer, StartCall, StopCall},
-        link::RunEnd,
+        execution::{
+            HoldCall, HoldResponse, ListedEnd, ListedRun, StartCall, StartResponse, StopCall,
+        },
+        link::RunOutcome,
         time::Instant,
-        work::{TaskId, WorkerLife},
+        work::{TaskId, WorkerIncarnation},
     },
     std::collections::BTreeMap,
 };
@@ -17,14 +19,14 @@
 struct RunAtWork {
     number: u32,
     done_at: Instant,
-    how: RunEnd,
+    how: RunOutcome,
 }
 
 /// One worker; a crash begins another life.
 #[derive(Debug)]
 pub(crate) struct WorkerModel {
     /// The life that this is.
-    pub(crate) life: WorkerLife,
+    pub(crate) life: WorkerIncarnation,
     /// It says that it is about to end.
     pub(crate) draining: bool,
     /// Reports made.
@@ -55,7 +57,7 @@
     ) -> Self {
         Self {
             room,
-            life: WorkerLife { id, born_unix_ms },
+            life: WorkerIncarnation { id, born_unix_ms },
             draining: false,
             reports: 0,
             hangs: false,
@@ -86,7 +88,7 @@
     /// Ends what is due by now, and everything when the lease is over; the tasks that are done.
     pub(crate) fn advance(&mut self, now: Instant) -> Vec<TaskId> {
         let lapsed = self.clock_ms(now) >= self.lease_until_ms;
-        let due: Vec<(TaskId, u32, RunEnd)> = self
+        let due: Vec<(TaskId, u32, RunOutcome)> = self
             .runs
             .iter()
             .filter(|(_, run)| lapsed || (now >= run.done_at && !self.hangs))
@@ -94,21 +96,21 @@
                 (
                     *task,
                     run.number,
-                    if lapsed { RunEnd::Lost } else { run.how },
+                    if lapsed { RunOutcome::Lost } else { run.how },
                 )
             })
             .collect();
         let mut done = Vec::new();
         for (task, number, end) in due {
             self.end(task, number, end);
-            if end == RunEnd::Done {
+            if end == RunOutcome::Done {
                 done.push(task);
             }
         }
         done
     }
 
-    fn end(&mut self, task: TaskId, number: u32, end: RunEnd) {
+    fn end(&mut self, task: TaskId, number: u32, end: RunOutcome) {
         self.runs.remove(&task);
         let used = self.used.entry(task).or_default();
         *used = (*used).max(number);
@@ -140,20 +142,20 @@
         now: Instant,
         call: &StartCall,
         run_ms: u64,
-        how: RunEnd,
-    ) -> (StartAnswer, bool) {
+        how: RunOutcome,
+    ) -> (StartResponse, bool) {
         if self.is_fenced(call.token) {
-            return (StartAnswer::Fenced, false);
+            return (StartResponse::Fenced, false);
         }
         if self
             .runs
             .get(&call.task)
             .is_some_and(|run| run.number == call.number)
         {
-            return (StartAnswer::Accepted, false);
+            return (StartResponse::Accepted, false);
         }
         if call.lease_until_ms <= self.clock_ms(now) {
-            return (StartAnswer::Late, false);
+            return (StartResponse::Late, false);
         }
         self.extend(now, call.lease_until_ms);
         let used = self
@@ -161,10 +163,10 @@
             .get(&call.task)
             .is_some_and(|used| *used >= call.number);
         if used || self.runs.contains_key(&call.task) {
-            return (StartAnswer::NumberUsed, false);
+            return (StartResponse::NumberUsed, false);
         }
         if self.runs.len() >= self.room {
-            return (StartAnswer::NoRoom, false);
+            return (StartResponse::NoRoom, false);
         }
         let run = RunAtWork {
             number: call.number,
@@ -172,7 +174,7 @@
             how,
         };
         self.runs.insert(call.task, run);
-        (StartAnswer::Accepted, true)
+        (StartResponse::Accepted, true)
     }
 
     /// Carries a stop out; whether it was taken.
@@ -185,7 +187,7 @@
             .get(&call.task)
             .is_some_and(|run| run.number == call.number);
         if runs {
-            self.end(call.task, call.number, RunEnd::Stopped);
+            self.end(call.task, call.number, RunOutcome::Stopped);
         }
         let used = self.used.entry(call.task).or_default();
         *used = (*used).max(call.number);
@@ -193,15 +195,15 @@
     }
 
     /// Carries a hold out.
-    pub(crate) fn hold(&mut self, now: Instant, call: &HoldCall) -> HoldAnswer {
+    pub(crate) fn hold(&mut self, now: Instant, call: &HoldCall) -> HoldResponse {
         if self.is_fenced(call.token) {
-            return HoldAnswer::Fenced;
+            return HoldResponse::Fenced;
         }
         if let Some(until_ms) = call.lease_until_ms {
             self.extend(now, until_ms);
         }
         self.ended.retain(|end| end.sequence > call.ends_seen);
-        HoldAnswer::Lists {
+        HoldResponse::Lists {
             born_unix_ms: Some(self.life.born_unix_ms),
             clock_ms: self.clock_ms(now),
             running: self
