--- a/src/agent/home_loop.rs
+++ b/src/agent/home_loop.rs
@@ -64,7 +64,7 @@
                 Some(input) = received.recv() => self.take(input),
                 Some(_) = ticks.recv() => {
                     self.feed(HomeEvent::Tick);
-                    self.ended = self.adopted && self.home.is_over();
+                    self.ended = self.adopted && self.home.is_finished();
                     self.metrics.set(Gauge::JobsRunning, self.home.running_count() as u64);
                 }
                 else => return,
@@ -170,7 +170,7 @@
             HomeAction::CountEjection(reason) => {
                 self.metrics.count(Counter::Ejections, reason.as_str());
             }
-            HomeAction::CountEnd(reason) => self.metrics.count(Counter::Jobs, reason),
+            HomeAction::CountOutcome(reason) => self.metrics.count(Counter::Jobs, reason),
         }
     }
 
--- a/src/core/home/intake.rs
+++ b/src/core/home/admission.rs
@@ -6,7 +6,7 @@
         home::Timer,
         job_record::{JobRecord, JobState, RunningJob},
         runner_link::RunnerLink,
-        ticket_ring::{JobKey, TicketState},
+        ticket_registry::{JobKey, TicketState},
     },
     crate::core::{
         admission::{AdmissionRequest, Overload},
@@ -20,15 +20,15 @@
 };
 
 /// Share of tasks that take less than what counts as usual; slow is half as much again.
-const USUAL_QUANTILE: f64 = 0.9;
+const BASELINE_QUANTILE: f64 = 0.9;
 /// Least time beyond the usual that counts as slow, in milliseconds: less is noise of the host.
-const SLOW_LEAST_MS: u64 = 50;
+const MIN_SLOWDOWN_MS: u64 = 50;
 /// At most one in so many runners is left alone.
-const LEFT_ALONE_SHARE: usize = 3;
+const MIN_RUNNERS_PER_EJECTION: usize = 3;
 
 /// Why a job is not taken in.
 #[derive(Debug)]
-pub(super) enum Turndown {
+pub(super) enum RejectReason {
     /// No worker of the configuration could ever hold one of its tasks.
     Impossible,
     /// It would not be done in time.
@@ -37,7 +37,7 @@
 
 impl Home {
     /// Takes in which runners an entry names.
-    pub(super) fn meet(&mut self, now: Instant, candidates: &[Candidate]) {
+    pub(super) fn discover_runners(&mut self, now: Instant, candidates: &[Candidate]) {
         for candidate in candidates {
             let link = self
                 .links
@@ -45,12 +45,12 @@
                 .or_insert_with(|| RunnerLink::new(now, candidate));
             link.peer_addr = candidate.peer_addr;
             link.own = candidate.own;
-            link.want_session(now);
+            link.request_session(now);
         }
     }
 
     /// Learns from the end of a task.
-    pub(super) fn learn(
+    pub(super) fn record_run_result(
         &mut self,
         now: Instant,
         runner: AgentId,
@@ -64,16 +64,17 @@
         }) = self.jobs.get(key)
         {
             let service = &job.spec.service;
-            let usual_ms = self.run_times.quantile_ms(service, USUAL_QUANTILE);
-            let slow_ms = usual_ms.map(|usual_ms| usual_ms + (usual_ms / 2).max(SLOW_LEAST_MS));
-            let Some(end) = task_end(outcome, ran_ms, slow_ms) else {
+            let baseline_ms = self.run_times.quantile_ms(service, BASELINE_QUANTILE);
+            let slow_ms =
+                baseline_ms.map(|baseline_ms| baseline_ms + (baseline_ms / 2).max(MIN_SLOWDOWN_MS));
+            let Some(sample) = health_sample(outcome, ran_ms, slow_ms) else {
                 return;
             };
             // Slow runners must not teach what is slow.
-            if end != HealthSample::Failed && self.is_trusted(now, runner) {
+            if sample != HealthSample::Failed && self.is_trusted(now, runner) {
                 self.run_times.record(service, ran_ms);
             }
-            self.note_end(now, runner, end);
+            self.record_health(now, runner, sample);
         }
     }
 
@@ -85,41 +86,43 @@
 
     /// Leaves a runner alone whose tasks end badly, unless most others are left alone already:
     /// then the tasks are at fault, or something that they share.
-    fn note_end(&mut self, now: Instant, runner: AgentId, end: HealthSample) {
-        let alone = self
+    fn record_health(&mut self, now: Instant, runner: AgentId, sample: HealthSample) {
+        let ejected = self
             .links
             .values()
             .filter(|link| link.health.is_ejected(now))
             .count();
-        let may_eject = (alone + 1) * LEFT_ALONE_SHARE <= self.links.len();
+        let may_eject = (ejected + 1) * MIN_RUNNERS_PER_EJECTION <= self.links.len();
         if let Some(link) = self.links.get_mut(&runner)
-            && (may_eject || end == HealthSample::Good)
-            && let Some(reason) = link.health.record(now, end)
+            && (may_eject || sample == HealthSample::Good)
+            && let Some(reason) = link.health.record(now, sample)
         {
             self.actions.push(HomeAction::CountEjection(reason));
         }
     }
 
     /// Decides whether a new job is taken in.
-    pub(super) fn judge(
+    pub(super) fn decide_admission(
         &mut self,
         now: Instant,
         spec: &JobSpec,
         impossible: bool,
-    ) -> Result<(), Turndown> {
+    ) -> Result<(), RejectReason> {
         if impossible {
-            return Err(Turndown::Impossible);
+            return Err(RejectReason::Impossible);
         }
         let declared_ms = spec.tasks.iter().map(|task| task.declared_run_ms).min();
         let declared_ms = u64::from(declared_ms.unwrap_or(0));
-        let offer = AdmissionRequest {
-            waiting: self.waiting_count(),
+        let request = AdmissionRequest {
+            waiting: self.queued_task_count(),
             oldest_wait_ms: self.oldest_wait_ms(now),
             tasks: spec.tasks.len(),
             deadline_ms: spec.deadline_ms,
             run_ms: self.run_times.expected_ms(&spec.service, declared_ms),
         };
-        self.admission.decide(offer).map_err(Turndown::Overload)
+        self.admission
+            .decide(request)
+            .map_err(RejectReason::Overload)
     }
 
     /// Begins a job under a ticket that was not used before.
@@ -139,7 +142,7 @@
             digest,
             state: JobState::Running(Box::new(job)),
         });
-        self.ring.record(&ticket.id, key);
+        self.tickets.record(&ticket.id, key);
         self.running += 1;
         self.timers.insert((deadline, Timer::Deadline(key)));
         self.waiting.push_back(key);
@@ -151,10 +154,10 @@
     /// Guards against a copy of the submission that comes later, through another entry, when there
     /// is room again: the client was told "not run" and may have sent the job under another
     /// ticket. This ticket is used up, and so every copy is answered alike.
-    pub(super) fn end_refused(&mut self, key: JobKey, turndown: Turndown) {
-        let (reason, retry_after_ms) = match turndown {
-            Turndown::Impossible => (NotRunReason::ImpossibleTask, 0),
-            Turndown::Overload(overload) => (NotRunReason::Overloaded, overload.retry_after_ms),
+    pub(super) fn reject_job(&mut self, key: JobKey, rejection: RejectReason) {
+        let (reason, retry_after_ms) = match rejection {
+            RejectReason::Impossible => (NotRunReason::ImpossibleTask, 0),
+            RejectReason::Overload(overload) => (NotRunReason::Overloaded, overload.retry_after_ms),
         };
         self.fail_job(
             key,
@@ -169,8 +172,8 @@
     /// Guards against a key that is refused for good: its client was told "not run" and when to
     /// come back, and can only come back with the same key, which is bound to the same ticket.
     /// Nothing of the job ran or is under way, so it may begin as if it were new.
-    pub(super) fn release_not_run(&mut self, ticket: &Ticket, spec: &JobSpec) {
-        let TicketState::Used(key) = self.ring.state(ticket) else {
+    pub(super) fn release_ticket_if_not_run(&mut self, ticket: &Ticket, spec: &JobSpec) {
+        let TicketState::Used(key) = self.tickets.state(ticket) else {
             return;
         };
         let Some(record) = self.jobs.get(key) else {
@@ -185,13 +188,13 @@
         if reason == NotRunReason::Cancelled || record.differs(&spec.digest()) {
             return;
         }
-        self.ring.release(&ticket.id);
+        self.tickets.release(&ticket.id);
         self.jobs.remove(key);
-        self.answers.forget(key);
+        self.answers.remove(key);
     }
 
     /// Tasks that wait.
-    fn waiting_count(&self) -> usize {
+    fn queued_task_count(&self) -> usize {
         self.waiting
             .iter()
             .filter_map(|key| self.running_job(*key))
@@ -220,7 +223,7 @@
 }
 
 /// What a task's end says about its runner, if it says anything.
-fn task_end(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
+fn health_sample(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
     match outcome {
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
             Some(HealthSample::Slow)
--- a/src/core/home/answer_store.rs
+++ b/src/core/home/answer_store.rs
@@ -1,7 +1,7 @@
 //! Ended jobs' answers, kept up to a byte limit.
 
 use {
-    super::ticket_ring::JobKey,
+    super::ticket_registry::JobKey,
     crate::core::job::{JobAnswer, TaskOutcome},
     slotmap::SecondaryMap,
     std::collections::VecDeque,
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct AnswerStore {
     limit_bytes: usize,
-    kept_bytes: usize,
+    stored_bytes: usize,
     /// Oldest first; a job that is not in `bytes` any more has been forgotten.
     order: VecDeque<JobKey>,
     bytes: SecondaryMap<JobKey, usize>,
@@ -22,23 +22,23 @@
     pub(crate) fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
-            kept_bytes: 0,
+            stored_bytes: 0,
             order: VecDeque::new(),
             bytes: SecondaryMap::new(),
         }
     }
 
     /// Accounts for a new answer and returns the jobs whose answers must go.
-    pub(crate) fn keep(&mut self, key: JobKey, answer: &JobAnswer) -> Vec<JobKey> {
+    pub(crate) fn insert(&mut self, key: JobKey, answer: &JobAnswer) -> Vec<JobKey> {
         let bytes = answer_bytes(answer);
-        self.kept_bytes += bytes;
+        self.stored_bytes += bytes;
         self.order.push_back(key);
         self.bytes.insert(key, bytes);
         let mut dropped = Vec::new();
-        while self.kept_bytes > self.limit_bytes
+        while self.stored_bytes > self.limit_bytes
             && let Some(oldest) = self.order.pop_front()
         {
-            if self.release(oldest) {
+            if self.release_bytes(oldest) {
                 dropped.push(oldest);
             }
         }
@@ -64,8 +64,8 @@
     }
 
     /// Frees the share of a job whose record is dropped.
-    pub(crate) fn forget(&mut self, key: JobKey) {
-        self.release(key);
+    pub(crate) fn remove(&mut self, key: JobKey) {
+        self.release_bytes(key);
         while self
             .order
             .front()
@@ -75,11 +75,11 @@
         }
     }
 
-    fn release(&mut self, key: JobKey) -> bool {
+    fn release_bytes(&mut self, key: JobKey) -> bool {
         let Some(bytes) = self.bytes.remove(key) else {
             return false;
         };
-        self.kept_bytes -= bytes;
+        self.stored_bytes -= bytes;
         true
     }
 }
--- a/src/core/home/demand.rs
+++ b/src/core/home/demand.rs
@@ -13,16 +13,16 @@
 ///
 /// Guards against asking only runners that can't start anything, as those of a zone that is out:
 /// the task would wait for them for good.
-const ASK_MORE_AFTER_MS: u64 = 100;
+const DEMAND_TIMEOUT_MS: u64 = 100;
 /// Wait of the oldest task from which on runners are asked, in milliseconds.
 ///
 /// A home whose own runners are busy with its tasks mostly learns of a free slot from the end of
 /// one of them within that time, and has asked for nothing.
-const ASK_AFTER_MS: u64 = 15;
+const DEMAND_DELAY_MS: u64 = 15;
 /// Jobs looked at, oldest first, when the demand is reckoned.
-const JOBS_COUNTED: usize = 32;
+const MAX_JOBS_COUNTED: usize = 32;
 /// Messages of a withdrawn demand, or of an offer that is handed back.
-const MESSAGES_WITHDRAWN: u16 = 2;
+const MESSAGES_PER_WITHDRAWAL: u16 = 2;
 
 impl Home {
     /// Tells runners how many tasks wait for their slots, or that none does any more.
@@ -34,23 +34,26 @@
             return false;
         };
         let waited_ms = now.millis_since(since);
-        if waited_ms >= ASK_AFTER_MS || self.links.values().all(RunnerLink::is_unused) {
-            self.ask_runners(now, since, waiting);
+        if waited_ms >= DEMAND_DELAY_MS || self.links.values().all(RunnerLink::is_idle) {
+            self.send_demands(now, since, waiting);
         }
         true
     }
 
-    fn ask_runners(&mut self, now: Instant, since: Instant, waiting: usize) {
-        let chosen = self.runners_to_ask(now, waiting);
-        let Some(tasks) = waiting.checked_div(chosen.len()).map(|tasks| tasks.max(1)) else {
+    fn send_demands(&mut self, now: Instant, since: Instant, waiting: usize) {
+        let selected = self.select_runners(now, waiting);
+        let Some(tasks) = waiting
+            .checked_div(selected.len())
+            .map(|tasks| tasks.max(1))
+        else {
             return;
         };
         let tasks = u16::try_from(tasks).unwrap_or(u16::MAX);
-        for runner in chosen {
+        for runner in selected {
             let Some(link) = self.links.get_mut(&runner) else {
                 continue;
             };
-            link.demanded = tasks;
+            link.demanded_tasks = tasks;
             link.demanded_at = now;
             self.actions.push(HomeAction::Send {
                 runner,
@@ -70,7 +73,7 @@
             .iter()
             .filter_map(|key| self.running_job(*key))
             .filter(|job| !job.queued.is_empty())
-            .take(JOBS_COUNTED)
+            .take(MAX_JOBS_COUNTED)
             .peekable();
         let since = jobs.peek()?.submitted_at;
         Some((since, jobs.map(|job| job.queued.len()).sum()))
@@ -78,7 +81,7 @@
 
     /// Runners of the oldest job that haven't been asked: own ones first, then those unheard for
     /// longest, whose slots are the likeliest to have become free.
-    fn runners_to_ask(&self, now: Instant, waiting: usize) -> Vec<AgentId> {
+    fn select_runners(&self, now: Instant, waiting: usize) -> Vec<AgentId> {
         let Some(job) = self
             .waiting
             .iter()
@@ -86,33 +89,36 @@
         else {
             return Vec::new();
         };
-        let usable = |runner: &AgentId| {
+        let usable_link = |runner: &AgentId| {
             self.links
                 .get(runner)
                 .filter(|link| link.is_usable(now) && link.view(now).free_slots == 0)
         };
-        let mut unasked: Vec<(bool, Instant, AgentId)> = Vec::new();
-        let mut asked = 0;
+        let mut without_demand: Vec<(bool, Instant, AgentId)> = Vec::new();
+        let mut pending = 0;
         for runner in &job.candidates {
-            match usable(runner) {
-                Some(link) if link.demanded > 0 => {
+            match usable_link(runner) {
+                Some(link) if link.demanded_tasks > 0 => {
                     let waited_ms = now.millis_since(link.demanded_at);
-                    asked += usize::from(waited_ms < ASK_MORE_AFTER_MS);
+                    pending += usize::from(waited_ms < DEMAND_TIMEOUT_MS);
                 }
-                Some(link) => unasked.push((!link.own, link.heard_at, *runner)),
+                Some(link) => without_demand.push((!link.own, link.last_report_at, *runner)),
                 None => {}
             }
         }
-        unasked.sort_unstable();
-        let wanted = waiting.max(MIN_FANOUT).saturating_sub(asked);
-        unasked.truncate(wanted);
-        unasked.into_iter().map(|(_, _, runner)| runner).collect()
+        without_demand.sort_unstable();
+        let wanted = waiting.max(MIN_FANOUT).saturating_sub(pending);
+        without_demand.truncate(wanted);
+        without_demand
+            .into_iter()
+            .map(|(_, _, runner)| runner)
+            .collect()
     }
 
     fn withdraw_demands(&mut self) {
         for (runner, link) in &mut self.links {
-            let offered = link.offered();
-            if link.demanded == 0 && offered == 0 {
+            let offered = link.offered_slots();
+            if link.demanded_tasks == 0 && offered == 0 {
                 continue;
             }
             let kind = if offered > 0 {
@@ -120,7 +126,7 @@
             } else {
                 "demand_withdrawn"
             };
-            link.withdraw();
+            link.withdraw_demand();
             self.actions.push(HomeAction::Send {
                 runner: *runner,
                 epoch: link.epoch,
@@ -131,7 +137,7 @@
             });
             self.actions.push(HomeAction::CountWasted {
                 kind,
-                messages: MESSAGES_WITHDRAWN,
+                messages: MESSAGES_PER_WITHDRAWAL,
             });
         }
     }
--- a/src/core/home/dispatch.rs
+++ b/src/core/home/dispatch.rs
@@ -4,7 +4,7 @@
     super::{
         Home, HomeAction,
         job_record::{JobRecord, JobState, TaskState},
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{
         job::TaskRef,
@@ -18,13 +18,13 @@
 /// When to come back after a job was given up in the queue, in milliseconds.
 const TOO_LATE_RETRY_AFTER_MS: u64 = 500;
 /// Jobs that can't be placed which one event looks at.
-const UNPLACED_JOBS: usize = 8;
+const MAX_UNPLACED_JOBS: usize = 8;
 
 impl Home {
     /// Opens sessions to runners that jobs could use or that hold tasks.
     pub(super) fn open_sessions(&mut self, now: Instant) {
         for (runner, link) in &mut self.links {
-            if !link.is_wanted(now) {
+            if !link.is_session_wanted(now) {
                 continue;
             }
             if let Some(epoch) = link.next_epoch(now, &mut self.last_epoch) {
@@ -39,9 +39,9 @@
 
     /// Starts what can be started, and asks for slots for the rest.
     pub(super) fn place_tasks(&mut self, now: Instant) {
-        let earlier = self.actions.len();
+        let first_action = self.actions.len();
         self.dispatch(now);
-        let starts = self.actions[earlier..]
+        let starts = self.actions[first_action..]
             .iter()
             .filter(|action| action.is_start())
             .count();
@@ -55,7 +55,7 @@
     /// however many jobs wait.
     pub(super) fn dispatch(&mut self, now: Instant) {
         let mut unplaced = Vec::new();
-        while unplaced.len() < UNPLACED_JOBS
+        while unplaced.len() < MAX_UNPLACED_JOBS
             && let Some(key) = self.waiting.pop_front()
         {
             if self.dispatch_job(now, key) {
@@ -82,8 +82,8 @@
     /// Starts what it can of one job; true if tasks are left in its queue.
     fn dispatch_job(&mut self, now: Instant, key: JobKey) -> bool {
         if self.is_too_late(now, key) {
-            let reasons = (NotRunReason::Overloaded, MayHaveRunReason::DeadlinePassed);
-            self.fail_job(key, reasons.0, reasons.1, TOO_LATE_RETRY_AFTER_MS);
+            let fail_reasons = (NotRunReason::Overloaded, MayHaveRunReason::DeadlinePassed);
+            self.fail_job(key, fail_reasons.0, fail_reasons.1, TOO_LATE_RETRY_AFTER_MS);
             return false;
         }
         let Some(JobRecord {
@@ -126,7 +126,7 @@
             job.tasks[usize::from(index)] = TaskState::Started { runner };
             let attempts = &mut job.attempts[usize::from(index)];
             *attempts = attempts.saturating_add(1);
-            link.note_start(now, task);
+            link.record_start(now, task);
             self.actions.push(HomeAction::Send {
                 runner,
                 epoch: link.epoch,
--- a/src/core/home/hand_over.rs
+++ b/src/core/home/hand_over.rs
@@ -7,14 +7,14 @@
         job_record::{JobRecord, JobState, RunningJob},
         records::{HomeRecords, MovedJob, MovedLink, MovedRunning, MovedState},
         runner_link::RunnerLink,
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{message::Candidate, placement::Placement, time::Instant},
     std::{collections::BTreeSet, sync::Arc},
 };
 
 /// Most bytes of answers that move, so that the records fit into one message.
-const MOVED_ANSWERS_BYTES: usize = 16 << 20;
+const MAX_MOVED_ANSWERS_BYTES: usize = 16 << 20;
 
 impl Home {
     /// Gives everything away; those who wait are told how far their jobs are and ask again.
@@ -22,20 +22,20 @@
     /// Guards against two processes that run the same jobs: from here on this home must not be
     /// fed any more, whether or not the records are known to have arrived.
     pub(crate) fn hand_over(&mut self, now: Instant) -> (HomeRecords, Vec<HomeAction>) {
-        self.release_waiters();
+        self.reply_progress_to_waiters();
         let records = HomeRecords {
             home: self.id,
-            secret: self.ring.secret().clone(),
-            next_generation: self.ring.next_generation(),
+            secret: self.tickets.secret().clone(),
+            next_generation: self.tickets.next_generation(),
             last_epoch: self.last_epoch,
-            generations: self.ring.generations(now),
+            generations: self.tickets.generations(now),
             jobs: self.moved_jobs(now),
             links: self.moved_links(),
         };
         (records, std::mem::take(&mut self.actions))
     }
 
-    fn release_waiters(&mut self) {
+    fn reply_progress_to_waiters(&mut self) {
         let mut replies = Vec::new();
         for record in self.jobs.values_mut() {
             if let JobState::Running(job) = &mut record.state {
@@ -50,7 +50,7 @@
     }
 
     fn moved_jobs(&self, now: Instant) -> Vec<MovedJob> {
-        let ended = self.answers.newest_within(MOVED_ANSWERS_BYTES);
+        let ended = self.answers.newest_within(MAX_MOVED_ANSWERS_BYTES);
         let with_answer: BTreeSet<JobKey> = ended.iter().copied().collect();
         let others = self.jobs.keys().filter(|key| !with_answer.contains(key));
         ended
@@ -89,7 +89,7 @@
     ) -> Self {
         let mut home = Self::new(records.home, records.secret, settings, placement);
         home.last_epoch = records.last_epoch;
-        home.ring
+        home.tickets
             .restore(now, records.next_generation, &records.generations);
         for job in records.jobs {
             home.adopt_job(now, job);
@@ -114,7 +114,7 @@
             digest: job.digest,
             state,
         });
-        self.ring.record(&job.ticket, key);
+        self.tickets.record(&job.ticket, key);
         match &self.jobs[key].state {
             JobState::Running(running) => {
                 self.running += 1;
@@ -123,7 +123,7 @@
             }
             JobState::Ended(answer) => {
                 let answer = Arc::clone(answer);
-                self.keep_answer(key, &answer);
+                self.store_answer(key, &answer);
             }
             JobState::Dropped | JobState::Cancelled => {}
         }
@@ -139,13 +139,13 @@
         };
         let mut link = RunnerLink::new(now, &candidate);
         link.outstanding = moved.outstanding.into_iter().collect();
-        link.silent_since = Some(now);
+        link.disconnected_since = Some(now);
         self.links.insert(moved.runner, link);
     }
 
     /// Whether nothing is left that anyone could ask for.
-    pub(crate) fn is_over(&self) -> bool {
-        self.jobs.is_empty() && self.ring.is_empty()
+    pub(crate) fn is_finished(&self) -> bool {
+        self.jobs.is_empty() && self.tickets.is_empty()
     }
 }
 
--- a/src/core/home/home.rs
+++ b/src/core/home/home.rs
@@ -3,11 +3,11 @@
 use {
     super::{
         HomeAction, HomeEvent, WaiterId,
+        admission::RejectReason,
         answer_store::AnswerStore,
-        intake::Turndown,
         job_record::{JobRecord, JobState},
         runner_link::RunnerLinks,
-        ticket_ring::{JobKey, TicketRing, TicketState},
+        ticket_registry::{JobKey, TicketRegistry, TicketState},
     },
     crate::core::{
         admission::Admission,
@@ -51,7 +51,7 @@
 pub(crate) struct Home {
     pub(super) id: AgentId,
     pub(super) settings: HomeSettings,
-    pub(super) ring: TicketRing,
+    pub(super) tickets: TicketRegistry,
     pub(super) jobs: SlotMap<JobKey, JobRecord>,
     /// How many of the jobs run; most are kept only for their answers.
     pub(super) running: usize,
@@ -61,7 +61,7 @@
     pub(super) timers: BTreeSet<(Instant, Timer)>,
     /// Epoch of the newest session to any runner.
     pub(super) last_epoch: u64,
-    pub(super) ticked_at: Option<Instant>,
+    pub(super) last_tick_at: Option<Instant>,
     pub(super) placement: Box<dyn Placement>,
     pub(super) admission: Admission,
     pub(super) run_times: RunTimes,
@@ -79,7 +79,7 @@
     ) -> Self {
         Self {
             id,
-            ring: TicketRing::new(id, secret, settings.ticket_ttl_ms),
+            tickets: TicketRegistry::new(id, secret, settings.ticket_ttl_ms),
             jobs: SlotMap::with_key(),
             running: 0,
             waiting: VecDeque::new(),
@@ -87,7 +87,7 @@
             links: RunnerLinks::new(),
             timers: BTreeSet::new(),
             last_epoch: 0,
-            ticked_at: None,
+            last_tick_at: None,
             placement,
             admission: Admission::new(id.0),
             run_times: RunTimes::default(),
@@ -102,7 +102,7 @@
         if self.leaving {
             return None;
         }
-        Some(self.ring.grant(now, count))
+        Some(self.tickets.grant(now, count))
     }
 
     /// Jobs that have not ended.
@@ -129,12 +129,12 @@
                 candidates,
                 wait_ms,
             } => {
-                self.meet(now, &candidates);
+                self.discover_runners(now, &candidates);
                 if by_key {
-                    self.release_not_run(&ticket, &spec);
+                    self.release_ticket_if_not_run(&ticket, &spec);
                 }
-                let verdict = self.judge(now, &spec, impossible);
-                self.on_submit(now, waiter, ticket, (spec, verdict), &candidates, wait_ms);
+                let admission = self.decide_admission(now, &spec, impossible);
+                self.on_submit(now, waiter, ticket, (spec, admission), &candidates, wait_ms);
             }
             HomeEvent::Poll {
                 waiter,
@@ -142,7 +142,7 @@
                 candidates,
                 wait_ms,
             } => {
-                self.meet(now, &candidates);
+                self.discover_runners(now, &candidates);
                 self.on_poll(now, waiter, ticket, &candidates, wait_ms);
             }
             HomeEvent::Cancel { waiter, ticket } => self.on_cancel(now, waiter, ticket),
@@ -165,11 +165,11 @@
         now: Instant,
         waiter: WaiterId,
         ticket: Ticket,
-        (spec, verdict): (JobSpec, Result<(), Turndown>),
+        (spec, admission): (JobSpec, Result<(), RejectReason>),
         candidates: &[Candidate],
         wait_ms: u64,
     ) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -186,8 +186,8 @@
             }
             TicketState::Unused => {
                 let key = self.start_job(now, ticket, spec, candidates);
-                if let Err(turndown) = verdict {
-                    self.end_refused(key, turndown);
+                if let Err(rejection) = admission {
+                    self.reject_job(key, rejection);
                 }
                 self.attach(now, waiter, key, &[], wait_ms);
             }
@@ -202,7 +202,7 @@
         candidates: &[Candidate],
         wait_ms: u64,
     ) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -212,7 +212,7 @@
     }
 
     fn on_cancel(&mut self, now: Instant, waiter: WaiterId, ticket: Ticket) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -237,7 +237,7 @@
             digest: [0; 32],
             state: JobState::Cancelled,
         });
-        self.ring.record(&ticket.id, key);
+        self.tickets.record(&ticket.id, key);
         key
     }
 
--- a/src/core/home/home_event.rs
+++ b/src/core/home/home_event.rs
@@ -127,5 +127,5 @@
     /// Count a runner that is left alone from now on.
     CountEjection(EjectionReason),
     /// Count a job's end by its verdict's reason.
-    CountEnd(&'static str),
+    CountOutcome(&'static str),
 }
--- a/src/core/home/job_record.rs
+++ b/src/core/home/job_record.rs
@@ -100,12 +100,12 @@
             .filter(|(state, _)| matches!(state, TaskState::Queued))
             .map(|(_, index)| index)
             .collect();
-        let ended = tasks.len() - self.queued.len();
+        let not_queued = tasks.len() - self.queued.len();
         let started = tasks
             .iter()
             .filter(|state| matches!(state, TaskState::Started { .. }))
             .count();
-        self.ended = u16::try_from(ended - started).unwrap_or(u16::MAX);
+        self.ended = u16::try_from(not_queued - started).unwrap_or(u16::MAX);
         self.tasks = tasks;
     }
 
@@ -138,7 +138,7 @@
 
     /// Ends a task; false if it had ended before.
     pub(crate) fn end_task(&mut self, index: u16, outcome: TaskOutcome) -> bool {
-        let outcome = self.with_earlier(usize::from(index), outcome);
+        let outcome = self.with_earlier_attempts(usize::from(index), outcome);
         let Some(state) = self.tasks.get_mut(usize::from(index)) else {
             return false;
         };
@@ -167,7 +167,7 @@
     ///
     /// Guards against a false "not run" for a repeatable task: its last try did not run, but an
     /// earlier one, after which it was tried anew, may have.
-    fn with_earlier(&self, index: usize, outcome: TaskOutcome) -> TaskOutcome {
+    fn with_earlier_attempts(&self, index: usize, outcome: TaskOutcome) -> TaskOutcome {
         match (outcome, self.earlier.get(index).copied().flatten()) {
             (TaskOutcome::NotRun { .. }, Some(reason)) => TaskOutcome::MayHaveRun { reason },
             (outcome, _) => outcome,
@@ -202,7 +202,7 @@
             .enumerate()
             .map(|(index, state)| match state {
                 TaskState::Queued => {
-                    self.with_earlier(index, TaskOutcome::NotRun { reason: not_run })
+                    self.with_earlier_attempts(index, TaskOutcome::NotRun { reason: not_run })
                 }
                 TaskState::Started { .. } => TaskOutcome::MayHaveRun {
                     reason: may_have_run,
--- a/src/core/home/mod.rs
+++ b/src/core/home/mod.rs
@@ -1,18 +1,18 @@
 //! The home of jobs: deduplicates, fans out, gathers and answers.
 
+mod admission;
 mod answer_store;
 mod demand;
 mod dispatch;
 mod hand_over;
 mod home;
 mod home_event;
-mod intake;
 mod job_record;
+mod outcomes;
 mod records;
 mod runner_link;
 mod sessions;
-mod settle;
-mod ticket_ring;
+mod ticket_registry;
 mod ticks;
 
 #[cfg(test)]
--- a/src/core/home/settle.rs
+++ b/src/core/home/outcomes.rs
@@ -5,7 +5,7 @@
         Home, HomeAction,
         home::Timer,
         job_record::{JobRecord, JobState, TaskState},
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{
         job::{JobAnswer, JobStatus, TaskOutcome, TaskRef},
@@ -20,13 +20,13 @@
 const MAX_ATTEMPTS: u8 = 8;
 /// Time after a job's first refusal from which on it may be given up: a permit's length, in which
 /// every runner that may start tasks at all has heard from an entry, in milliseconds.
-const NOT_TAKEN_AFTER_MS: u64 = 3_000;
+const REFUSAL_TIMEOUT_MS: u64 = 3_000;
 /// When to come back after no runner took a task, in milliseconds.
-const NOT_TAKEN_RETRY_AFTER_MS: u64 = 1_000;
+const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Home {
     /// Takes in the end of one start of a task: retries it, ends it, or fails the job.
-    pub(super) fn settle_task(
+    pub(super) fn apply_outcome(
         &mut self,
         now: Instant,
         key: JobKey,
@@ -46,7 +46,7 @@
                 reason: NotRunReason::SlotsFull,
             } => Some(NotRunReason::SlotsFull.as_str()),
             TaskOutcome::NotRun { reason }
-                if attempts < MAX_ATTEMPTS || !job.refused_for(now, NOT_TAKEN_AFTER_MS) =>
+                if attempts < MAX_ATTEMPTS || !job.refused_for(now, REFUSAL_TIMEOUT_MS) =>
             {
                 Some(reason.as_str())
             }
@@ -74,15 +74,15 @@
         }
         let failed = !matches!(outcome, TaskOutcome::Done { .. });
         let retry_after_ms = match outcome {
-            TaskOutcome::NotRun { .. } => NOT_TAKEN_RETRY_AFTER_MS,
+            TaskOutcome::NotRun { .. } => REFUSED_RETRY_AFTER_MS,
             _ => 0,
         };
         if !job.end_task(index, outcome) {
             return;
         }
         if failed {
-            let reasons = (NotRunReason::JobFailed, MayHaveRunReason::JobFailed);
-            self.fail_job(key, reasons.0, reasons.1, retry_after_ms);
+            let fail_reasons = (NotRunReason::JobFailed, MayHaveRunReason::JobFailed);
+            self.fail_job(key, fail_reasons.0, fail_reasons.1, retry_after_ms);
         } else if job.is_complete() {
             self.end_job(key, Verdict::Done);
         }
@@ -145,16 +145,16 @@
         for waiter in waiters {
             self.reply(waiter, JobStatus::Ended(Arc::clone(&answer)));
         }
-        self.actions.push(HomeAction::CountEnd(match verdict {
+        self.actions.push(HomeAction::CountOutcome(match verdict {
             Verdict::Done => "done",
             Verdict::NotRun { .. } | Verdict::MayHaveRun { .. } => verdict.reason(),
         }));
-        self.keep_answer(key, &answer);
+        self.store_answer(key, &answer);
     }
 
     /// Keeps an answer for resubmissions, at the cost of the oldest ones.
-    pub(super) fn keep_answer(&mut self, key: JobKey, answer: &JobAnswer) {
-        for old in self.answers.keep(key, answer) {
+    pub(super) fn store_answer(&mut self, key: JobKey, answer: &JobAnswer) {
+        for old in self.answers.insert(key, answer) {
             if let Some(record) = self.jobs.get_mut(old)
                 && matches!(record.state, JobState::Ended(_))
             {
--- a/src/core/home/sessions.rs
+++ b/src/core/home/sessions.rs
@@ -1,7 +1,7 @@
 //! The home's sessions with runners: what is outstanding there, and what became of it.
 
 use {
-    super::{Home, HomeAction, runner_link::LinkState, ticket_ring::TicketState},
+    super::{Home, HomeAction, runner_link::LinkState, ticket_registry::TicketState},
     crate::core::{
         job::{TaskOutcome, TaskRef},
         message::{FreeSlots, HomeFrame, RunnerFrame, StatusReport, TaskStatus},
@@ -38,7 +38,7 @@
                 link.report_free(now, free);
                 self.on_outcome(now, runner, task, outcome);
             }
-            RunnerFrame::Offer { free } => link.take_offer(now, free),
+            RunnerFrame::Offer { free } => link.apply_offer(now, free),
             RunnerFrame::Statuses { tasks } => {
                 for report in tasks {
                     self.on_status(now, runner, report);
@@ -49,14 +49,14 @@
 
     fn on_welcome(&mut self, now: Instant, runner: AgentId, actual: AgentId, free: FreeSlots) {
         if runner != actual {
-            self.lose_runner(now, runner);
+            self.remove_runner(now, runner);
             return;
         }
         let Some(link) = self.links.get_mut(&runner) else {
             return;
         };
         link.state = LinkState::Open;
-        link.silent_since = None;
+        link.disconnected_since = None;
         link.report_free(now, free);
         if link.outstanding.is_empty() {
             return;
@@ -99,7 +99,7 @@
         let Some(link) = self.links.get_mut(&runner) else {
             return;
         };
-        let Some(ran_ms) = link.end_task(now, &task) else {
+        let Some(ran_ms) = link.remove_task(now, &task) else {
             return;
         };
         if let TaskOutcome::NotRun { reason } = &outcome {
@@ -113,32 +113,32 @@
                 frame: HomeFrame::Ack { tasks: vec![task] },
             });
         }
-        let TicketState::Used(key) = self.ring.state_of(&task.ticket) else {
+        let TicketState::Used(key) = self.tickets.state_of(&task.ticket) else {
             return;
         };
-        self.learn(now, runner, key, &outcome, ran_ms);
-        self.settle_task(now, key, task.index, outcome);
+        self.record_run_result(now, runner, key, &outcome, ran_ms);
+        self.apply_outcome(now, key, task.index, outcome);
     }
 
     pub(super) fn on_session_lost(&mut self, now: Instant, runner: AgentId, epoch: u64) {
         if let Some(link) = self.links.get_mut(&runner)
             && link.epoch == epoch
         {
-            link.lose_session(now);
+            link.record_disconnect(now);
         }
     }
 
     /// Gives up all tasks of a runner whose process is gone.
-    pub(super) fn lose_runner(&mut self, now: Instant, runner: AgentId) {
+    pub(super) fn remove_runner(&mut self, now: Instant, runner: AgentId) {
         let Some(link) = self.links.remove(&runner) else {
             return;
         };
         for task in link.outstanding.into_keys() {
-            if let TicketState::Used(key) = self.ring.state_of(&task.ticket) {
+            if let TicketState::Used(key) = self.tickets.state_of(&task.ticket) {
                 let outcome = TaskOutcome::MayHaveRun {
                     reason: MayHaveRunReason::RunnerLost,
                 };
-                self.settle_task(now, key, task.index, outcome);
+                self.apply_outcome(now, key, task.index, outcome);
             }
         }
         self.dispatch(now);
--- a/src/core/home/tests.rs
+++ b/src/core/home/tests.rs
@@ -10,4 +10,4 @@
 mod interleavings;
 mod memory;
 mod sessions;
-mod world;
+mod simulation;
--- a/src/core/home/tests/faults.rs
+++ b/src/core/home/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Single failures, each with its story.
 
 use {
-    super::world::{World, job},
+    super::simulation::{Simulation, job},
     crate::core::{
         job::{JobStatus, TaskOutcome},
         verdict::{MayHaveRunReason, NotRunReason, Verdict},
@@ -12,78 +12,78 @@
 /// time is over while the job runs; the home drops the generation with the running job in it,
 /// and the auditor's request is never answered at all.
 #[test]
-fn a_ticket_that_expires_while_its_job_runs_loses_no_answer() {
-    let mut world = World::new(1, 2);
-    let ticket = world.tickets(1)[0];
-    world.advance(19_000);
-    let waiter = world.submit(ticket, job(1, false, 10_000), 10_000);
-    world.deliver_all();
-    world.advance(2_000);
-    let again = world.submit(ticket, job(1, false, 10_000), 10_000);
-    world.finish(0, 3);
-    world.deliver_all();
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
-    assert_eq!(world.answer(again), world.answer(waiter));
-    assert_eq!(world.starts.values().sum::<u32>(), 1);
+fn ticket_expiry_during_a_run_does_not_drop_the_answer() {
+    let mut sim = Simulation::new(1, 2);
+    let ticket = sim.tickets(1)[0];
+    sim.advance(19_000);
+    let waiter = sim.submit(ticket, job(1, false, 10_000), 10_000);
+    sim.deliver_all();
+    sim.advance(2_000);
+    let again = sim.submit(ticket, job(1, false, 10_000), 10_000);
+    sim.finish(0, 3);
+    sim.deliver_all();
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
+    assert_eq!(sim.answer(again), sim.answer(waiter));
+    assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
 
 /// A client's ticket is cancelled before its submission arrives: the POST waits in a socket, the
 /// DELETE goes through another entry and is told "not run". Then the POST arrives and the share
 /// is paid all the same, although the office has paid it by hand.
 #[test]
-fn a_cancelled_ticket_never_starts_late() {
-    let mut world = World::new(1, 2);
-    let ticket = world.tickets(1)[0];
-    let cancelled = world.cancel(ticket);
-    let late = world.submit(ticket, job(1, false, 5_000), 5_000);
-    world.deliver_all();
+fn a_submission_after_its_cancellation_is_not_started() {
+    let mut sim = Simulation::new(1, 2);
+    let ticket = sim.tickets(1)[0];
+    let cancelled = sim.cancel(ticket);
+    let late = sim.submit(ticket, job(1, false, 5_000), 5_000);
+    sim.deliver_all();
     let not_run = JobStatus::Refused(Verdict::refused(NotRunReason::Cancelled));
-    assert_eq!(world.reply(cancelled), &not_run);
-    assert_eq!(world.reply(late), &not_run);
-    assert!(world.starts.is_empty());
+    assert_eq!(sim.reply(cancelled), &not_run);
+    assert_eq!(sim.reply(late), &not_run);
+    assert!(sim.starts.is_empty());
 }
 
 /// A runner is cut off for longer than the limit, with many sessions behind it, and comes back.
 /// The home has forgotten the runner's link and counts sessions from one again, so the runner
 /// refuses every session as an old one: the worker stays idle although it is healthy.
 #[test]
-fn a_runner_given_up_for_lost_is_used_again_at_its_return() {
-    let mut world = World::new(1, 2);
-    let tickets = world.tickets(3);
-    world.submit(tickets[0], job(1, false, 60_000), 0);
+fn a_lost_runner_is_used_again_after_it_reconnects() {
+    let mut sim = Simulation::new(1, 2);
+    let tickets = sim.tickets(3);
+    sim.submit(tickets[0], job(1, false, 60_000), 0);
     for number in 0..60 {
-        world.deliver_all();
-        world.break_session(number);
+        sim.deliver_all();
+        sim.break_session(number);
     }
     for _ in 0..80 {
-        world.break_session(world.session_count() - 1);
-        world.advance(100);
+        sim.break_session(sim.session_count() - 1);
+        sim.advance(100);
     }
-    let back = world.submit(tickets[1], job(1, false, 2_000), 2_000);
+    let later = sim.submit(tickets[1], job(1, false, 2_000), 2_000);
     for _ in 0..4 {
-        world.deliver_all();
-        world.finish(0, 3);
-        world.deliver_all();
-        world.finish(0, 3);
-        world.advance(100);
+        sim.deliver_all();
+        sim.finish(0, 3);
+        sim.deliver_all();
+        sim.finish(0, 3);
+        sim.advance(100);
     }
-    assert_eq!(world.answer(back).verdict, Verdict::Done);
+    assert_eq!(sim.answer(later).verdict, Verdict::Done);
 }
 
 /// All slots are taken by other homes for minutes; a task is offered again each time the runner
 /// says it has a slot. After 255 refusals the count of tries overflows and the home dies with
 /// all its jobs.
 #[test]
-fn hundreds_of_refusals_do_not_end_the_home() {
-    let mut world = World::new(1, 0);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 40_000), 40_000);
+fn hundreds_of_refusals_do_not_overflow_the_attempt_count() {
+    let mut sim = Simulation::new(1, 0);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 40_000), 40_000);
     for _ in 0..600 {
-        world.deliver_all();
-        world.advance(60);
+        sim.deliver_all();
+        sim.advance(60);
     }
-    world.run_out(50_000);
-    let answer = world.answer(waiter);
+    sim.run_until(50_000);
+    let answer = sim.answer(waiter);
     assert!(
         matches!(
             answer.verdict,
@@ -100,57 +100,57 @@
 /// is offered to it again. It still keeps the first outcome and takes the start for a doubled
 /// frame: it stays mute, and the letting agent waits until the deadline for an answer that exists.
 #[test]
-fn a_start_of_an_ended_task_is_answered_with_its_outcome() {
-    let mut world = World::new(1, 2);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, true, 60_000), 60_000);
-    world.deliver_all();
-    world.advance(1_000);
+fn a_repeated_start_of_an_ended_task_returns_its_outcome() {
+    let mut sim = Simulation::new(1, 2);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, true, 60_000), 60_000);
+    sim.deliver_all();
+    sim.advance(1_000);
     for _ in 0..32 {
-        world.break_session(world.session_count() - 1);
-        world.advance(100);
+        sim.break_session(sim.session_count() - 1);
+        sim.advance(100);
     }
     // The runner ends the task while the home has given it up.
-    world.finish(0, 3);
+    sim.finish(0, 3);
     // The entry asks again, as it does every second, and names the runner anew.
-    world.poll(ticket, 0);
+    sim.poll(ticket, 0);
     for _ in 0..10 {
-        world.deliver_all();
-        world.advance(100);
+        sim.deliver_all();
+        sim.advance(100);
     }
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
-    assert_eq!(world.starts.values().sum::<u32>(), 1);
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
+    assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
 
 /// A home hangs for ten seconds (its host pages or is frozen) just after a session broke. When it
 /// wakes, its clock says that the runner was silent for ten seconds, and jobs fail although
 /// nobody had tried to reach the runner in that time.
 #[test]
-fn a_home_that_was_paused_does_not_blame_its_runners() {
-    let mut world = World::new(1, 2);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 60_000), 60_000);
-    world.deliver_all();
-    world.advance(5);
-    world.break_session(0);
-    world.advance(10_000);
-    world.finish(0, 3);
-    world.run_out(13_000);
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
+fn a_pause_of_the_home_process_does_not_time_out_its_runners() {
+    let mut sim = Simulation::new(1, 2);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 60_000), 60_000);
+    sim.deliver_all();
+    sim.advance(5);
+    sim.break_session(0);
+    sim.advance(10_000);
+    sim.finish(0, 3);
+    sim.run_until(13_000);
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
 /// A job fails at one of its tasks while others run and others wait. The office must know for
 /// each share whether it may have been paid; what waits must never start.
 #[test]
-fn a_failing_job_tells_the_truth_for_each_task_and_starts_nothing_more() {
-    let mut world = World::new(1, 3);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(6, false, 5_000), 5_000);
-    world.deliver_all();
-    world.finish(0, 3);
-    world.finish(0, 0);
-    world.deliver_all();
-    let answer = world.answer(waiter);
+fn a_failing_job_reports_each_task_outcome_and_starts_no_more_tasks() {
+    let mut sim = Simulation::new(1, 3);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(6, false, 5_000), 5_000);
+    sim.deliver_all();
+    sim.finish(0, 3);
+    sim.finish(0, 0);
+    sim.deliver_all();
+    let answer = sim.answer(waiter);
     let count =
         |wanted: fn(&TaskOutcome) -> bool| answer.outcomes.iter().filter(|o| wanted(o)).count();
     assert_eq!(count(|o| matches!(o, TaskOutcome::Done { .. })), 1);
@@ -165,25 +165,25 @@
     };
     assert!(count(running) >= 1);
     assert!(count(|o| matches!(o, TaskOutcome::NotRun { .. })) >= 2);
-    let started = world.starts.len();
-    world.run_out(8_000);
-    assert_eq!(world.starts.len(), started);
-    assert!(!world.stopped.is_empty(), "running tasks are told to stop");
+    let started = sim.starts.len();
+    sim.run_until(8_000);
+    assert_eq!(sim.starts.len(), started);
+    assert!(!sim.stopped.is_empty(), "running tasks are told to stop");
 }
 
 /// A repeatable look-up ran on a worker that was then replaced; it waits to be tried again when
 /// the client cancels. "Not run" would be false: the first try may have run.
 #[test]
-fn a_retried_task_that_waits_is_not_called_not_run() {
-    let mut world = World::new(1, 1);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, true, 5_000), 5_000);
-    world.deliver_all();
-    world.finish(0, 1);
-    world.set_zone(0, false);
-    world.deliver_all();
-    world.cancel(ticket);
-    let outcome = world.answer(waiter).outcomes[0].clone();
+fn a_task_queued_for_retry_is_not_reported_as_not_run() {
+    let mut sim = Simulation::new(1, 1);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, true, 5_000), 5_000);
+    sim.deliver_all();
+    sim.finish(0, 1);
+    sim.set_zone(0, false);
+    sim.deliver_all();
+    sim.cancel(ticket);
+    let outcome = sim.answer(waiter).outcomes[0].clone();
     let reason = MayHaveRunReason::BackendLost;
     assert_eq!(outcome, TaskOutcome::MayHaveRun { reason });
 }
@@ -192,106 +192,106 @@
 /// must neither start them again nor forget one, and ask the runners before it decides; a ticket
 /// that was granted before and is used later runs once.
 #[test]
-fn a_home_that_moves_starts_nothing_twice_and_loses_no_answer() {
-    let mut world = World::new(2, 2);
-    let tickets = world.tickets(3);
-    let ended = world.submit(tickets[0], job(1, false, 9_000), 9_000);
-    world.deliver_all();
-    world.finish(0, 3);
-    world.finish(1, 3);
-    world.deliver_all();
-    let told = world.submit(tickets[1], job(6, false, 9_000), 9_000);
-    world.deliver_all();
-    world.finish(0, 3);
-    world.hand_over();
-    let progress = world.reply(told).clone();
+fn a_hand_over_starts_no_task_twice_and_drops_no_answer() {
+    let mut sim = Simulation::new(2, 2);
+    let tickets = sim.tickets(3);
+    let ended = sim.submit(tickets[0], job(1, false, 9_000), 9_000);
+    sim.deliver_all();
+    sim.finish(0, 3);
+    sim.finish(1, 3);
+    sim.deliver_all();
+    let moved_waiter = sim.submit(tickets[1], job(6, false, 9_000), 9_000);
+    sim.deliver_all();
+    sim.finish(0, 3);
+    sim.hand_over();
+    let progress = sim.reply(moved_waiter).clone();
     assert!(matches!(progress, JobStatus::Running { total: 6, .. }));
-    let again = world.submit(tickets[1], job(6, false, 9_000), 9_000);
-    let late = world.submit(tickets[0], job(1, false, 9_000), 0);
-    let fresh = world.submit(tickets[2], job(1, false, 9_000), 9_000);
-    world.run_out(4_000);
-    assert_eq!(world.answer(again).verdict, Verdict::Done);
-    assert_eq!(world.answer(fresh).verdict, Verdict::Done);
-    assert_eq!(world.answer(late), world.answer(ended));
-    assert_eq!(world.starts.len(), 8);
-    assert!(world.starts.values().all(|count| *count == 1));
+    let again = sim.submit(tickets[1], job(6, false, 9_000), 9_000);
+    let late = sim.submit(tickets[0], job(1, false, 9_000), 0);
+    let fresh = sim.submit(tickets[2], job(1, false, 9_000), 9_000);
+    sim.run_until(4_000);
+    assert_eq!(sim.answer(again).verdict, Verdict::Done);
+    assert_eq!(sim.answer(fresh).verdict, Verdict::Done);
+    assert_eq!(sim.answer(late), sim.answer(ended));
+    assert_eq!(sim.starts.len(), 8);
+    assert!(sim.starts.values().all(|count| *count == 1));
 }
 
 /// An agent is replaced at the same address; an entry that hasn't heard yet asks the new process
 /// for a job of the old one. "Forged, not run" would be false: the job may have run.
 #[test]
-fn a_ticket_of_another_home_is_not_called_not_run() {
-    let mut world = World::new(1, 2);
-    let mut ticket = world.tickets(1)[0];
+fn a_ticket_of_another_home_is_not_reported_as_not_run() {
+    let mut sim = Simulation::new(1, 2);
+    let mut ticket = sim.tickets(1)[0];
     ticket.id.home.0 += 1;
-    let waiter = world.submit(ticket, job(1, false, 5_000), 5_000);
+    let waiter = sim.submit(ticket, job(1, false, 5_000), 5_000);
     let lost = Verdict::may_have_run(MayHaveRunReason::HomeLost);
-    assert_eq!(world.reply(waiter), &JobStatus::Refused(lost));
+    assert_eq!(sim.reply(waiter), &JobStatus::Refused(lost));
 }
 
 /// A worker has just been started and has its permit in a second; there is no other. A job that
 /// has a minute is told "not run" after two thirds of a second, since eight tries were refused.
 #[test]
-fn a_job_waits_for_a_runner_whose_permit_is_under_way() {
-    let mut world = World::new(3, 2);
+fn a_job_waits_until_a_runner_receives_its_permit() {
+    let mut sim = Simulation::new(3, 2);
     for node in 0..3 {
-        world.set_zone(node, false);
+        sim.set_zone(node, false);
     }
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 60_000), 60_000);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 60_000), 60_000);
     for _ in 0..15 {
-        world.deliver_all();
-        world.advance(100);
+        sim.deliver_all();
+        sim.advance(100);
     }
-    world.set_zone(0, true);
-    world.run_out(4_000);
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
+    sim.set_zone(0, true);
+    sim.run_until(4_000);
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
 /// A bank's key meets a moment in which no worker can start its job, and it is told "not run" and
 /// when to come back. It comes back with the same key, which is bound to the same ticket, and is
 /// told the same as long as it tries, although there is room by now.
 #[test]
-fn a_key_that_did_not_run_can_come_back() {
-    let mut world = World::new(1, 2);
-    world.set_zone(0, false);
-    let ticket = world.tickets(1)[0];
+fn a_key_whose_job_did_not_run_can_be_resubmitted() {
+    let mut sim = Simulation::new(1, 2);
+    sim.set_zone(0, false);
+    let ticket = sim.tickets(1)[0];
     let spec = job(2, false, 500);
-    let refused = world.submit_by_key(ticket, spec.clone(), 500);
-    world.deliver_all();
-    world.advance(600);
+    let refused = sim.submit_by_key(ticket, spec.clone(), 500);
+    sim.deliver_all();
+    sim.advance(600);
     assert!(matches!(
-        world.answer(refused).verdict,
+        sim.answer(refused).verdict,
         Verdict::NotRun { .. }
     ));
-    world.set_zone(0, true);
-    let same_ticket = world.submit(ticket, spec.clone(), 500);
+    sim.set_zone(0, true);
+    let same_ticket = sim.submit(ticket, spec.clone(), 500);
     assert_eq!(
-        world.answer(same_ticket),
-        world.answer(refused),
+        sim.answer(same_ticket),
+        sim.answer(refused),
         "a ticket stays used up"
     );
-    let back = world.submit_by_key(ticket, spec.clone(), 500);
-    world.run_out(3_000);
-    assert_eq!(world.answer(back).verdict, Verdict::Done);
-    let again = world.submit_by_key(ticket, spec, 500);
-    assert_eq!(world.answer(again), world.answer(back));
-    assert!(world.starts.values().all(|count| *count == 1));
+    let later = sim.submit_by_key(ticket, spec.clone(), 500);
+    sim.run_until(3_000);
+    assert_eq!(sim.answer(later).verdict, Verdict::Done);
+    let again = sim.submit_by_key(ticket, spec, 500);
+    assert_eq!(sim.answer(again), sim.answer(later));
+    assert!(sim.starts.values().all(|count| *count == 1));
 }
 
 /// A worker is in a zone that is out, and no other serves the job. The client gets "not run", and
 /// with it a time to come back: without one its program takes the refusal for one that lasts.
 #[test]
-fn a_job_that_no_runner_takes_is_told_when_to_come_back() {
-    let mut world = World::new(1, 2);
-    world.set_zone(0, false);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 30_000), 30_000);
+fn a_job_refused_by_all_runners_gets_a_retry_after() {
+    let mut sim = Simulation::new(1, 2);
+    sim.set_zone(0, false);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 30_000), 30_000);
     for _ in 0..60 {
-        world.deliver_all();
-        world.advance(100);
+        sim.deliver_all();
+        sim.advance(100);
     }
-    let verdict = world.answer(waiter).verdict;
+    let verdict = sim.answer(waiter).verdict;
     assert_eq!(verdict.reason(), "no_permit");
     assert!(verdict.retry_after_ms() > 0, "{verdict:?}");
 }
@@ -303,33 +303,33 @@
 /// is paid twice.
 #[test]
 fn a_late_status_of_an_earlier_start_does_not_start_a_task_twice() {
-    let mut world = World::new(2, 1);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 20_000), 20_000);
+    let mut sim = Simulation::new(2, 1);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 20_000), 20_000);
     let (first, other, second) = (0, 1, 2);
     // Only the first runner welcomes the home, so the task starts there.
-    world.deliver_to_runner(first);
-    world.deliver_to_home(first);
-    world.deliver_to_runner(first);
-    world.break_session(first);
+    sim.deliver_to_runner(first);
+    sim.deliver_to_home(first);
+    sim.deliver_to_runner(first);
+    sim.break_session(first);
     // The hello arrives; the refusal goes out on the new session, behind the welcome.
-    world.deliver_to_runner(second);
-    world.finish(0, 2);
-    world.deliver_to_home(second);
+    sim.deliver_to_runner(second);
+    sim.finish(0, 2);
+    sim.deliver_to_home(second);
     // The question arrives, and its answer is under way behind the refusal.
-    world.deliver_to_runner(second);
-    world.deliver_to_home(second);
-    world.advance(300);
-    world.deliver_to_runner(second);
-    assert_eq!(world.starts.values().sum::<u32>(), 1, "started anew");
-    world.deliver_to_home(second);
+    sim.deliver_to_runner(second);
+    sim.deliver_to_home(second);
+    sim.advance(300);
+    sim.deliver_to_runner(second);
+    assert_eq!(sim.starts.values().sum::<u32>(), 1, "started anew");
+    sim.deliver_to_home(second);
     // The other runner welcomes the home and could take a task that waits.
-    world.deliver_to_runner(other);
-    world.deliver_to_home(other);
-    world.deliver_to_runner(other);
-    world.run_out(10_000);
-    assert_eq!(world.starts.values().sum::<u32>(), 1);
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
+    sim.deliver_to_runner(other);
+    sim.deliver_to_home(other);
+    sim.deliver_to_runner(other);
+    sim.run_until(10_000);
+    assert_eq!(sim.starts.values().sum::<u32>(), 1);
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
 /// A share is paid twice. A session breaks, and on the new one the home asks what became of the
@@ -337,31 +337,31 @@
 /// again. Then the reply comes: "never started". It means the first start, and the home takes it
 /// for the second and starts the running task elsewhere.
 #[test]
-fn a_reply_about_an_earlier_start_says_nothing_of_a_later_one() {
-    let mut world = World::new(2, 1);
-    let ticket = world.tickets(1)[0];
-    let waiter = world.submit(ticket, job(1, false, 5_000), 5_000);
+fn a_status_of_an_earlier_start_is_not_applied_to_a_later_one() {
+    let mut sim = Simulation::new(2, 1);
+    let ticket = sim.tickets(1)[0];
+    let waiter = sim.submit(ticket, job(1, false, 5_000), 5_000);
     let hello_welcome_start = [0, 0, 0];
-    world.deliver_to_runner(hello_welcome_start[0]);
-    world.deliver_to_home(hello_welcome_start[1]);
-    world.deliver_to_runner(hello_welcome_start[2]);
-    world.break_session(0);
-    let renewed = world.session_count() - 1;
-    world.deliver_to_runner(renewed);
-    world.finish(0, 2);
-    world.finish(1, 2);
-    world.deliver_to_home(renewed);
-    world.deliver_to_home(renewed);
-    world.advance(250);
-    world.deliver_to_runner(renewed);
-    world.deliver_to_runner(renewed);
-    assert_eq!(world.starts.values().sum::<u32>(), 1, "started again");
-    world.deliver_to_runner(1);
-    world.deliver_to_home(1);
-    world.deliver_all();
-    world.deliver_all();
-    assert_eq!(world.starts.values().sum::<u32>(), 1);
-    world.run_out(4_000);
-    assert_eq!(world.answer(waiter).verdict, Verdict::Done);
-    assert_eq!(world.starts.values().sum::<u32>(), 1);
+    sim.deliver_to_runner(hello_welcome_start[0]);
+    sim.deliver_to_home(hello_welcome_start[1]);
+    sim.deliver_to_runner(hello_welcome_start[2]);
+    sim.break_session(0);
+    let renewed = sim.session_count() - 1;
+    sim.deliver_to_runner(renewed);
+    sim.finish(0, 2);
+    sim.finish(1, 2);
+    sim.deliver_to_home(renewed);
+    sim.deliver_to_home(renewed);
+    sim.advance(250);
+    sim.deliver_to_runner(renewed);
+    sim.deliver_to_runner(renewed);
+    assert_eq!(sim.starts.values().sum::<u32>(), 1, "started again");
+    sim.deliver_to_runner(1);
+    sim.deliver_to_home(1);
+    sim.deliver_all();
+    sim.deliver_all();
+    assert_eq!(sim.starts.values().sum::<u32>(), 1);
+    sim.run_until(4_000);
+    assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
+    assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
--- a/src/core/home/tests/interleavings.rs
+++ b/src/core/home/tests/interleavings.rs
@@ -1,7 +1,7 @@
 //! Random interleavings of everything that can happen, against a naive model in one map.
 
 use {
-    super::world::{World, job},
+    super::simulation::{Simulation, job},
     crate::core::{
         home::WaiterId,
         job::{JobAnswer, JobStatus, TaskOutcome, TaskRef},
@@ -73,48 +73,48 @@
 /// What happened, in one map: the model that the machines are compared with.
 #[derive(Debug, Default)]
 struct Model {
-    asked: BTreeMap<WaiterId, usize>,
+    waiters: BTreeMap<WaiterId, usize>,
     answers: BTreeMap<TicketId, Arc<JobAnswer>>,
 }
 
-fn take(world: &mut World, model: &mut Model, tickets: &[Ticket], step: Step) {
+fn apply_step(sim: &mut Simulation, model: &mut Model, tickets: &[Ticket], step: Step) {
     // Mostly the newest sessions, where most goes on.
-    let session = |number: usize, world: &World| {
-        let count = world.session_count().max(1);
+    let session = |number: usize, sim: &Simulation| {
+        let count = sim.session_count().max(1);
         (count - 1).saturating_sub(number)
     };
     match step {
         Step::Submit { ticket, wait_ms } => {
             let waiter = if is_keyed(ticket) {
-                world.submit_by_key(tickets[ticket], spec_of(ticket), wait_ms)
+                sim.submit_by_key(tickets[ticket], spec_of(ticket), wait_ms)
             } else {
-                world.submit(tickets[ticket], spec_of(ticket), wait_ms)
+                sim.submit(tickets[ticket], spec_of(ticket), wait_ms)
             };
-            model.asked.insert(waiter, ticket);
+            model.waiters.insert(waiter, ticket);
         }
         Step::Poll { ticket, wait_ms } => {
-            let waiter = world.poll(tickets[ticket], wait_ms);
-            model.asked.insert(waiter, ticket);
+            let waiter = sim.poll(tickets[ticket], wait_ms);
+            model.waiters.insert(waiter, ticket);
         }
         Step::Cancel { ticket } => {
-            let waiter = world.cancel(tickets[ticket]);
-            model.asked.insert(waiter, ticket);
+            let waiter = sim.cancel(tickets[ticket]);
+            model.waiters.insert(waiter, ticket);
         }
-        Step::ToRunner { session: number } => world.deliver_to_runner(session(number, world)),
-        Step::ToHome { session: number } => world.deliver_to_home(session(number, world)),
-        Step::Break { session: number } => world.break_session(session(number, world)),
-        Step::CloseAtRunner { session: number } => world.close_at_runner(session(number, world)),
-        Step::Finish { node, kind } => world.finish(node, kind),
-        Step::Restart { node } => world.restart_runner(node),
-        Step::HandOver => world.hand_over(),
-        Step::Zone { node, open } => world.set_zone(node, open),
-        Step::Advance { ms } => world.advance(ms),
+        Step::ToRunner { session: number } => sim.deliver_to_runner(session(number, sim)),
+        Step::ToHome { session: number } => sim.deliver_to_home(session(number, sim)),
+        Step::Break { session: number } => sim.break_session(session(number, sim)),
+        Step::CloseAtRunner { session: number } => sim.close_at_runner(session(number, sim)),
+        Step::Finish { node, kind } => sim.finish(node, kind),
+        Step::Restart { node } => sim.restart_runner(node),
+        Step::HandOver => sim.hand_over(),
+        Step::Zone { node, open } => sim.set_zone(node, open),
+        Step::Advance { ms } => sim.advance(ms),
     }
 }
 
-fn check(world: &World, model: &mut Model, tickets: &[Ticket]) -> TestCaseResult {
-    for (waiter, number) in model.asked.clone() {
-        let replies = world.replies.get(&waiter).map_or(&[][..], Vec::as_slice);
+fn check(sim: &Simulation, model: &mut Model, tickets: &[Ticket]) -> TestCaseResult {
+    for (waiter, number) in model.waiters.clone() {
+        let replies = sim.replies.get(&waiter).map_or(&[][..], Vec::as_slice);
         prop_assert_eq!(
             replies.len(),
             1,
@@ -125,15 +125,15 @@
         );
         let ticket = tickets[number].id;
         match &replies[0] {
-            JobStatus::Ended(answer) => check_answer(world, model, number, ticket, answer)?,
+            JobStatus::Ended(answer) => check_answer(sim, model, number, ticket, answer)?,
             JobStatus::Refused(Verdict::NotRun { reason, .. }) => {
                 prop_assert_eq!(*reason, NotRunReason::Cancelled);
-                check_never_started(world, ticket)?;
+                check_never_started(sim, ticket)?;
             }
             _ => {}
         }
     }
-    for (task, count) in &world.starts {
+    for (task, count) in &sim.starts {
         let number = tickets.iter().position(|ticket| ticket.id == task.ticket);
         let repeatable = number.is_some_and(is_repeatable);
         prop_assert!(
@@ -147,7 +147,7 @@
 }
 
 fn check_answer(
-    world: &World,
+    sim: &Simulation,
     model: &mut Model,
     number: usize,
     ticket: TicketId,
@@ -173,7 +173,7 @@
     );
     for (outcome, index) in answer.outcomes.iter().zip(0..) {
         let task = TaskRef { ticket, index };
-        let started = world.starts.get(&task).copied().unwrap_or(0);
+        let started = sim.starts.get(&task).copied().unwrap_or(0);
         match outcome {
             TaskOutcome::NotRun { reason } => {
                 let message = format!("{task} not run ({reason:?}), started {started} times");
@@ -188,13 +188,13 @@
         }
     }
     if matches!(answer.verdict, Verdict::NotRun { .. }) {
-        check_never_started(world, ticket)?;
+        check_never_started(sim, ticket)?;
     }
     Ok(())
 }
 
-fn check_never_started(world: &World, ticket: TicketId) -> TestCaseResult {
-    let started: Vec<_> = world
+fn check_never_started(sim: &Simulation, ticket: TicketId) -> TestCaseResult {
+    let started: Vec<_> = sim
         .starts
         .iter()
         .filter(|(task, count)| task.ticket == ticket && **count > 0)
@@ -216,14 +216,14 @@
     /// hand, when starts, refusals, silence, new sessions, restarts, late frames, resubmissions,
     /// cancellations and deadlines cross in an order that nobody thought of.
     #[test]
-    fn any_interleaving_keeps_the_promises(steps in prop::collection::vec(step(), 1..160)) {
-        let mut world = World::new(NODES, 2);
-        let tickets = world.tickets(u32::try_from(TICKETS).unwrap_or(0));
+    fn random_interleavings_preserve_the_guarantees(steps in prop::collection::vec(step(), 1..160)) {
+        let mut sim = Simulation::new(NODES, 2);
+        let tickets = sim.tickets(u32::try_from(TICKETS).unwrap_or(0));
         let mut model = Model::default();
         for step in steps {
-            take(&mut world, &mut model, &tickets, step);
+            apply_step(&mut sim, &mut model, &tickets, step);
         }
-        world.run_out(END_MS);
-        check(&world, &mut model, &tickets)?;
+        sim.run_until(END_MS);
+        check(&sim, &mut model, &tickets)?;
     }
 }
--- a/src/core/home/tests/memory.rs
+++ b/src/core/home/tests/memory.rs
@@ -1,7 +1,7 @@
 //! What ended jobs cost.
 
 use {
-    super::world::{World, job},
+    super::simulation::{Simulation, job},
     crate::core::{
         job::JobStatus,
         ticket::Ticket,
@@ -19,31 +19,31 @@
 /// since with 66 MB of answers: either it keeps them all and its small host runs out of memory,
 /// or the answer is gone, and the bank must hear that its job ran and not that it did not.
 #[test]
-fn ten_minutes_of_jobs_stay_under_the_limit_and_a_dropped_answer_is_told_so() {
-    let mut world = World::new(1, 8);
-    let tickets = world.tickets(JOBS);
-    let allocated = allocation_counter::measure(|| run_all(&mut world, &tickets));
+fn stored_answers_stay_under_the_limit_and_a_dropped_answer_is_reported() {
+    let mut sim = Simulation::new(1, 8);
+    let tickets = sim.tickets(JOBS);
+    let allocated = allocation_counter::measure(|| run_all(&mut sim, &tickets));
     let grown_kb = allocated.bytes_current / 1_024;
     println!("{JOBS} ended jobs: {grown_kb} kB");
     assert!(grown_kb < LIMIT_MB * 1_024, "{grown_kb} kB");
 
     let spec = job(TASKS, false, 1_000);
-    let newest = world.submit(tickets[tickets.len() - 1], spec.clone(), 0);
-    assert_eq!(world.answer(newest).verdict, Verdict::Done);
-    let oldest = world.submit(tickets[0], spec, 0);
+    let newest = sim.submit(tickets[tickets.len() - 1], spec.clone(), 0);
+    assert_eq!(sim.answer(newest).verdict, Verdict::Done);
+    let oldest = sim.submit(tickets[0], spec, 0);
     let dropped = Verdict::may_have_run(MayHaveRunReason::AnswerDropped);
-    assert_eq!(world.reply(oldest), &JobStatus::Refused(dropped));
-    assert!(world.starts.is_empty(), "nothing runs again");
+    assert_eq!(sim.reply(oldest), &JobStatus::Refused(dropped));
+    assert!(sim.starts.is_empty(), "nothing runs again");
 }
 
-fn run_all(world: &mut World, tickets: &[Ticket]) {
+fn run_all(sim: &mut Simulation, tickets: &[Ticket]) {
     for ticket in tickets {
-        world.submit(*ticket, job(TASKS, false, 1_000), 1_000);
-        world.deliver_all();
+        sim.submit(*ticket, job(TASKS, false, 1_000), 1_000);
+        sim.deliver_all();
         for _ in 0..TASKS {
-            world.finish_with(0, "x".repeat(OUTPUT_BYTES));
+            sim.finish_with(0, "x".repeat(OUTPUT_BYTES));
         }
-        world.deliver_all();
-        world.forget_witness();
+        sim.deliver_all();
+        sim.clear_observations();
     }
 }
--- a/src/core/home/tests/sessions.rs
+++ b/src/core/home/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions between the home and its runners, on which frames are late, cut off and crossed.
 
 use {
-    super::world::World,
+    super::simulation::Simulation,
     crate::core::{
         home::HomeEvent,
         message::{HomeFrame, RunnerFrame},
@@ -22,11 +22,11 @@
     pub(super) id: SessionId,
     to_runner: VecDeque<HomeFrame>,
     pub(super) to_home: VecDeque<RunnerFrame>,
-    pub(super) home_lost: bool,
+    pub(super) home_disconnected: bool,
     pub(super) runner_closed: bool,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn open(&mut self, runner: AgentId, peer_addr: SocketAddr, epoch: u64) {
         let node = usize::from(peer_addr.port()) - 1_000;
         self.next_id += 1;
@@ -42,7 +42,7 @@
             id: SessionId(self.next_id),
             to_runner: VecDeque::from([hello]),
             to_home: VecDeque::new(),
-            home_lost: false,
+            home_disconnected: false,
             runner_closed: false,
         });
     }
@@ -51,7 +51,7 @@
         let session = self
             .sessions
             .iter_mut()
-            .find(|s| s.runner == runner && s.epoch == epoch && !s.home_lost);
+            .find(|s| s.runner == runner && s.epoch == epoch && !s.home_disconnected);
         if let Some(session) = session {
             session.to_runner.push_back(frame);
         }
@@ -62,8 +62,8 @@
         let Some(session) = self.sessions.get_mut(number) else {
             return;
         };
-        let is_gone = self.nodes[session.node].id.0 != session.incarnation;
-        if session.runner_closed || is_gone {
+        let is_replaced = self.nodes[session.node].id.0 != session.incarnation;
+        if session.runner_closed || is_replaced {
             session.to_runner.clear();
             return;
         }
@@ -71,7 +71,7 @@
             return;
         };
         let (node, session) = (session.node, session.id);
-        self.feed_runner(node, RunnerEvent::Frame { session, frame });
+        self.send_runner_event(node, RunnerEvent::Frame { session, frame });
     }
 
     /// Delivers the next frame of a session to the home, also after a newer one was opened.
@@ -80,13 +80,13 @@
             return;
         };
         let Some(frame) = session.to_home.pop_front() else {
-            if session.runner_closed && !session.home_lost {
+            if session.runner_closed && !session.home_disconnected {
                 self.break_session(number);
             }
             return;
         };
         let (runner, epoch) = (session.runner, session.epoch);
-        self.feed(HomeEvent::Frame {
+        self.send_event(HomeEvent::Frame {
             runner,
             epoch,
             frame,
@@ -98,11 +98,11 @@
         let Some(session) = self.sessions.get_mut(number) else {
             return;
         };
-        if std::mem::replace(&mut session.home_lost, true) {
+        if std::mem::replace(&mut session.home_disconnected, true) {
             return;
         }
         let (runner, epoch) = (session.runner, session.epoch);
-        self.feed(HomeEvent::SessionLost { runner, epoch });
+        self.send_event(HomeEvent::SessionLost { runner, epoch });
     }
 
     /// The runner finds a session lost, with all that was under way to it.
@@ -115,7 +115,7 @@
         }
         session.to_home.clear();
         let (node, session) = (session.node, session.id);
-        self.feed_runner(node, RunnerEvent::SessionClosed { session });
+        self.send_runner_event(node, RunnerEvent::SessionClosed { session });
     }
 
     pub(super) const fn session_count(&self) -> usize {
@@ -124,7 +124,7 @@
 
     pub(super) fn deliver_live(&mut self) {
         for number in 0..self.sessions.len() {
-            if !self.sessions[number].home_lost {
+            if !self.sessions[number].home_disconnected {
                 self.deliver_session(number);
             }
         }
@@ -144,10 +144,10 @@
             self.deliver_to_runner(number);
             self.deliver_to_home(number);
         }
-        self.notice_end(number);
+        self.detect_disconnect(number);
     }
 
-    fn notice_end(&mut self, number: usize) {
+    fn detect_disconnect(&mut self, number: usize) {
         let session = &self.sessions[number];
         if session.runner_closed || self.nodes[session.node].id.0 != session.incarnation {
             self.break_session(number);
--- a/src/core/home/tests/world.rs
+++ b/src/core/home/tests/simulation.rs
@@ -16,7 +16,7 @@
 };
 
 const SERVICE: &str = "crew-share";
-const KEEP_OUTCOME_MS: u64 = 2_000;
+const OUTCOME_RETENTION_MS: u64 = 2_000;
 const TICKET_TTL_MS: u64 = 20_000;
 
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 
 /// Everything, with the witness of starts and of replies.
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct Simulation {
     pub(super) now_ms: u64,
     pub(super) home: Home,
     pub(super) nodes: Vec<Node>,
@@ -37,7 +37,7 @@
     pub(super) next_id: u64,
     pub(super) starts: BTreeMap<TaskRef, u32>,
     pub(super) replies: BTreeMap<WaiterId, Vec<JobStatus>>,
-    pub(super) asked: u64,
+    pub(super) waiter_count: u64,
     pub(super) stopped: Vec<TaskRef>,
 }
 
@@ -72,12 +72,12 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-impl World {
+impl Simulation {
     /// A home and `nodes` runners with `slots` slots each, all with permits.
     pub(super) fn new(nodes: usize, slots: u16) -> Self {
         let secret = GrantSecret::new([7; 32]);
         let placement = Box::new(MostFree::new(11));
-        let mut world = Self {
+        let mut sim = Self {
             now_ms: 1_000,
             home: Home::new(AgentId(1), secret, home_settings(), placement),
             nodes: Vec::new(),
@@ -85,21 +85,21 @@
             next_id: 100,
             starts: BTreeMap::new(),
             replies: BTreeMap::new(),
-            asked: 0,
+            waiter_count: 0,
             stopped: Vec::new(),
         };
         for _ in 0..nodes {
-            let node = world.boot(slots);
-            world.nodes.push(node);
+            let node = sim.start_runner(slots);
+            sim.nodes.push(node);
         }
-        world
+        sim
     }
 
-    fn boot(&mut self, slots: u16) -> Node {
+    fn start_runner(&mut self, slots: u16) -> Node {
         self.next_id += 1;
         let id = AgentId(self.next_id);
         let settings = RunnerSettings {
-            keep_outcome_ms: KEEP_OUTCOME_MS,
+            keep_outcome_ms: OUTCOME_RETENTION_MS,
         };
         let mut runner = Runner::new(id, settings);
         let services = vec![SERVICE.to_owned()];
@@ -138,8 +138,8 @@
     }
 
     fn waiter(&mut self) -> WaiterId {
-        self.asked += 1;
-        WaiterId(self.asked)
+        self.waiter_count += 1;
+        WaiterId(self.waiter_count)
     }
 
     pub(super) fn submit(&mut self, ticket: Ticket, spec: JobSpec, wait_ms: u64) -> WaiterId {
@@ -157,7 +157,7 @@
 
     fn submit_as(&mut self, ticket: Ticket, by_key: bool, spec: JobSpec, wait_ms: u64) -> WaiterId {
         let (waiter, candidates) = (self.waiter(), self.candidates());
-        self.feed(HomeEvent::Submit {
+        self.send_event(HomeEvent::Submit {
             waiter,
             ticket,
             by_key,
@@ -171,7 +171,7 @@
 
     pub(super) fn poll(&mut self, ticket: Ticket, wait_ms: u64) -> WaiterId {
         let (waiter, candidates) = (self.waiter(), self.candidates());
-        self.feed(HomeEvent::Poll {
+        self.send_event(HomeEvent::Poll {
             waiter,
             ticket,
             candidates,
@@ -182,7 +182,7 @@
 
     pub(super) fn cancel(&mut self, ticket: Ticket) -> WaiterId {
         let waiter = self.waiter();
-        self.feed(HomeEvent::Cancel { waiter, ticket });
+        self.send_event(HomeEvent::Cancel { waiter, ticket });
         waiter
     }
 
@@ -202,7 +202,7 @@
         }
     }
 
-    pub(super) fn feed(&mut self, event: HomeEvent) {
+    pub(super) fn send_event(&mut self, event: HomeEvent) {
         for action in self.home.handle(self.now(), event) {
             match action {
                 HomeAction::OpenSession {
@@ -219,14 +219,14 @@
                     self.replies.entry(waiter).or_default().push(status);
                 }
                 HomeAction::CountRetry(_)
-                | HomeAction::CountEnd(_)
+                | HomeAction::CountOutcome(_)
                 | HomeAction::CountEjection(_)
                 | HomeAction::CountWasted { .. } => {}
             }
         }
     }
 
-    pub(super) fn feed_runner(&mut self, node: usize, event: RunnerEvent) {
+    pub(super) fn send_runner_event(&mut self, node: usize, event: RunnerEvent) {
         let now = self.now();
         for action in self.nodes[node].runner.handle(now, event) {
             match action {
@@ -278,18 +278,18 @@
                 output: format!("out {}", task.index),
             },
         };
-        self.feed_runner(node, RunnerEvent::Finished { task, outcome });
+        self.send_runner_event(node, RunnerEvent::Finished { task, outcome });
     }
 
     /// A backend server ends its oldest running task with this output.
     pub(super) fn finish_with(&mut self, node: usize, output: String) {
         let task = self.nodes[node].running.remove(0);
         let outcome = TaskOutcome::Done { output };
-        self.feed_runner(node, RunnerEvent::Finished { task, outcome });
+        self.send_runner_event(node, RunnerEvent::Finished { task, outcome });
     }
 
     /// Drops the records of starts and replies, so that they don't count as the home's memory.
-    pub(super) fn forget_witness(&mut self) {
+    pub(super) fn clear_observations(&mut self) {
         self.starts.clear();
         self.replies.clear();
     }
@@ -297,7 +297,7 @@
     /// The runner's process is replaced by another one at the same address.
     pub(super) fn restart_runner(&mut self, node: usize) {
         let slots = self.nodes[node].runner.slots();
-        self.nodes[node] = self.boot(slots);
+        self.nodes[node] = self.start_runner(slots);
     }
 
     /// The home stops as planned and another process goes on with its records. The old one's
@@ -312,29 +312,29 @@
         let placement = Box::new(MostFree::new(12));
         self.home = Home::adopt(self.now(), records, home_settings(), placement);
         for session in &mut self.sessions {
-            session.home_lost = true;
+            session.home_disconnected = true;
         }
-        self.feed(HomeEvent::Tick);
+        self.send_event(HomeEvent::Tick);
     }
 
     /// Opens or closes the zone of a runner.
     pub(super) fn set_zone(&mut self, node: usize, open: bool) {
         self.nodes[node].version += 1;
         let event = permit(self.now(), self.nodes[node].version, open);
-        self.feed_runner(node, event);
+        self.send_runner_event(node, event);
     }
 
     pub(super) fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
         for node in 0..self.nodes.len() {
-            self.feed_runner(node, RunnerEvent::Tick);
+            self.send_runner_event(node, RunnerEvent::Tick);
         }
-        self.feed(HomeEvent::Tick);
+        self.send_event(HomeEvent::Tick);
     }
 
     /// Lets everything arrive and end. What is under way on sessions that the home has lost comes
     /// last, when all else is over: no later arrival could do more harm.
-    pub(super) fn run_out(&mut self, until_ms: u64) {
+    pub(super) fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             for _ in 0..4 {
                 self.deliver_live();
--- a/src/core/home/ticket_ring.rs
+++ b/src/core/home/ticket_registry.rs
@@ -44,7 +44,7 @@
 /// task starts, and once its generation is dropped no job can begin under it at all, so a ticket
 /// without a record is either unused or refused. Only this home's own clock counts.
 #[derive(Debug)]
-pub(crate) struct TicketRing {
+pub(crate) struct TicketRegistry {
     home: AgentId,
     secret: GrantSecret,
     ttl_ms: u64,
@@ -52,7 +52,7 @@
     generations: BTreeMap<u32, Generation>,
 }
 
-impl TicketRing {
+impl TicketRegistry {
     /// An empty ring.
     pub(crate) const fn new(home: AgentId, secret: GrantSecret, ttl_ms: u64) -> Self {
         Self {
--- a/src/core/home/ticks.rs
+++ b/src/core/home/ticks.rs
@@ -5,7 +5,7 @@
         Home, WaiterId,
         home::Timer,
         job_record::{JobRecord, JobState},
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{
         ticket::AgentId,
@@ -17,29 +17,29 @@
 /// When to come back after a deadline passed, in milliseconds.
 const DEADLINE_RETRY_AFTER_MS: u64 = 1_000;
 /// Time between ticks from which on this process must have been paused, in milliseconds.
-const PAUSED_AFTER_MS: u64 = 1_000;
+const MIN_PAUSE_MS: u64 = 1_000;
 
 impl Home {
     pub(super) fn on_tick(&mut self, now: Instant) {
-        self.excuse_own_pause(now);
+        self.exclude_own_pause(now);
         self.fire_timers(now);
-        self.lose_silent_runners(now);
+        self.remove_unresponsive_runners(now);
         self.drop_expired(now);
     }
 
     /// Guards against blaming runners for this process's own pause: when it wakes, sessions look
     /// silent for as long as it slept, although nobody tried to reach them. That time is taken off.
-    fn excuse_own_pause(&mut self, now: Instant) {
-        let slept_ms = self
-            .ticked_at
+    fn exclude_own_pause(&mut self, now: Instant) {
+        let paused_ms = self
+            .last_tick_at
             .replace(now)
-            .map_or(0, |ticked_at| now.millis_since(ticked_at));
-        if slept_ms < PAUSED_AFTER_MS {
+            .map_or(0, |last_tick_at| now.millis_since(last_tick_at));
+        if paused_ms < MIN_PAUSE_MS {
             return;
         }
         for link in self.links.values_mut() {
-            if let Some(since) = &mut link.silent_since {
-                *since = since.plus_ms(slept_ms).min(now);
+            if let Some(since) = &mut link.disconnected_since {
+                *since = since.plus_ms(paused_ms).min(now);
             }
         }
     }
@@ -62,19 +62,19 @@
         }
     }
 
-    fn lose_silent_runners(&mut self, now: Instant) {
+    fn remove_unresponsive_runners(&mut self, now: Instant) {
         let lost_after_ms = self.settings.runner_lost_after_ms;
-        let lost: Vec<AgentId> = self
+        let unresponsive: Vec<AgentId> = self
             .links
             .iter()
             .filter(|(_, link)| {
-                link.silent_since
+                link.disconnected_since
                     .is_some_and(|since| now.millis_since(since) >= lost_after_ms)
             })
             .map(|(runner, _)| *runner)
             .collect();
-        for runner in lost {
-            self.lose_runner(now, runner);
+        for runner in unresponsive {
+            self.remove_runner(now, runner);
         }
     }
 
@@ -84,9 +84,9 @@
             jobs.get(key)
                 .is_some_and(|record| matches!(record.state, JobState::Running(_)))
         };
-        for key in self.ring.drop_expired(now, is_running) {
+        for key in self.tickets.drop_expired(now, is_running) {
             self.jobs.remove(key);
-            self.answers.forget(key);
+            self.answers.remove(key);
         }
     }
 
