--- a/src/core/home/admission.rs
+++ b/src/core/home/admission.rs
@@ -1,4 +1,4 @@
-//! What a home takes in: which runners there are, and whether a job would be done in time.
+//! Admission of jobs, and the run times and runner health that it learns from.
 
 use {
     super::{
@@ -19,24 +19,24 @@
     },
 };
 
-/// Share of tasks that take less than what counts as usual; slow is half as much again.
+/// Quantile of past run times used as the baseline; a run 50 % above it counts as slow.
 const BASELINE_QUANTILE: f64 = 0.9;
-/// Least time beyond the usual that counts as slow, in milliseconds: less is noise of the host.
+/// Minimum excess over the baseline that counts as slow; smaller ones are host jitter.
 const MIN_SLOWDOWN_MS: u64 = 50;
-/// At most one in so many runners is left alone.
+/// At most one in this many runners may be ejected at a time.
 const MIN_RUNNERS_PER_EJECTION: usize = 3;
 
-/// Why a job is not taken in.
+/// Why a job is rejected.
 #[derive(Debug)]
 pub(super) enum RejectReason {
-    /// No worker of the configuration could ever hold one of its tasks.
+    /// A task fits on no worker of the configuration.
     Impossible,
-    /// It would not be done in time.
+    /// The job would not finish before its deadline.
     Overload(Overload),
 }
 
 impl Home {
-    /// Takes in which runners an entry names.
+    /// Adds or updates the links of the runners that an entry named as candidates.
     pub(super) fn discover_runners(&mut self, now: Instant, candidates: &[Candidate]) {
         for candidate in candidates {
             let link = self
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Learns from the end of a task.
+    /// Updates run times and runner health from the outcome of a run.
     pub(super) fn record_run_result(
         &mut self,
         now: Instant,
@@ -70,7 +70,7 @@
             let Some(sample) = health_sample(outcome, ran_ms, slow_ms) else {
                 return;
             };
-            // Slow runners must not teach what is slow.
+            // Slow or ejected runners must not raise the baseline.
             if sample != HealthSample::Failed && self.is_trusted(now, runner) {
                 self.run_times.record(service, ran_ms);
             }
@@ -78,14 +78,17 @@
         }
     }
 
+    /// Whether the runner is neither ejected nor on probation.
     fn is_trusted(&self, now: Instant, runner: AgentId) -> bool {
         self.links
             .get(&runner)
             .is_some_and(|link| link.health.most_tasks(now) > 1)
     }
 
-    /// Leaves a runner alone whose tasks end badly, unless most others are left alone already:
-    /// then the tasks are at fault, or something that they share.
+    /// Ejects a runner whose tasks fail or run slowly.
+    ///
+    /// At the limit of ejected runners, the tasks or a shared dependency are the more likely cause,
+    /// so no further runner is ejected.
     fn record_health(&mut self, now: Instant, runner: AgentId, sample: HealthSample) {
         let ejected = self
             .links
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Decides whether a new job is taken in.
+    /// Decides whether a new job is admitted.
     pub(super) fn decide_admission(
         &mut self,
         now: Instant,
@@ -125,7 +128,7 @@
             .map_err(RejectReason::Overload)
     }
 
-    /// Begins a job under a ticket that was not used before.
+    /// Starts a job under an unused ticket.
     pub(super) fn start_job(
         &mut self,
         now: Instant,
@@ -149,11 +152,11 @@
         key
     }
 
-    /// Ends a job that was not taken in.
+    /// Ends a job that was not admitted.
     ///
-    /// Guards against a copy of the submission that comes later, through another entry, when there
-    /// is room again: the client was told "not run" and may have sent the job under another
-    /// ticket. This ticket is used up, and so every copy is answered alike.
+    /// The ticket stays used: a copy of the submission that arrives later through another entry
+    /// gets the same rejection, because the client may have resubmitted the job under another
+    /// ticket.
     pub(super) fn reject_job(&mut self, key: JobKey, rejection: RejectReason) {
         let (reason, retry_after_ms) = match rejection {
             RejectReason::Impossible => (NotRunReason::ImpossibleTask, 0),
@@ -167,11 +170,10 @@
         );
     }
 
-    /// Lets a job that did not run be submitted again under its ticket.
+    /// Releases the ticket of a job that did not run, so that it can be submitted again.
     ///
-    /// Guards against a key that is refused for good: its client was told "not run" and when to
-    /// come back, and can only come back with the same key, which is bound to the same ticket.
-    /// Nothing of the job ran or is under way, so it may begin as if it were new.
+    /// A client with a key of its own can only retry with that key, which is bound to the same
+    /// ticket. No task of the job ran or is in flight, so the job may start as new.
     pub(super) fn release_ticket_if_not_run(&mut self, ticket: &Ticket, spec: &JobSpec) {
         let TicketState::Used(key) = self.tickets.state(ticket) else {
             return;
@@ -193,7 +195,7 @@
         self.answers.remove(key);
     }
 
-    /// Tasks that wait.
+    /// Number of queued tasks of all jobs.
     fn queued_task_count(&self) -> usize {
         self.waiting
             .iter()
@@ -202,7 +204,7 @@
             .sum()
     }
 
-    /// For how long the oldest job has waited.
+    /// How long the oldest job with queued tasks has waited.
     fn oldest_wait_ms(&self, now: Instant) -> u64 {
         let mut waiting = self.waiting.iter().filter_map(|key| self.running_job(*key));
         waiting
@@ -210,7 +212,7 @@
             .map_or(0, |job| now.millis_since(job.submitted_at))
     }
 
-    /// The job under this key, while it runs.
+    /// The job under this key if it is running.
     pub(super) fn running_job(&self, key: JobKey) -> Option<&RunningJob> {
         match self.jobs.get(key) {
             Some(JobRecord {
@@ -222,7 +224,7 @@
     }
 }
 
-/// What a task's end says about its runner, if it says anything.
+/// What an outcome says about the health of its runner, if anything.
 fn health_sample(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
     match outcome {
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
--- a/src/core/home/answer_store.rs
+++ b/src/core/home/answer_store.rs
@@ -1,4 +1,4 @@
-//! Ended jobs' answers, kept up to a byte limit.
+//! Byte limit for the stored answers of ended jobs.
 
 use {
     super::ticket_registry::JobKey,
@@ -7,18 +7,18 @@
     std::collections::VecDeque,
 };
 
-/// Order in which answers are dropped when memory runs short.
+/// Sizes of the stored answers and the order in which they are evicted.
 #[derive(Debug)]
 pub(crate) struct AnswerStore {
     limit_bytes: usize,
     stored_bytes: usize,
-    /// Oldest first; a job that is not in `bytes` any more has been forgotten.
+    /// Oldest first; keys missing in `bytes` were removed.
     order: VecDeque<JobKey>,
     bytes: SecondaryMap<JobKey, usize>,
 }
 
 impl AnswerStore {
-    /// A store that keeps up to `limit_bytes` of answers.
+    /// An empty store with this limit.
     pub(crate) fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Accounts for a new answer and returns the jobs whose answers must go.
+    /// Accounts for a new answer and returns the jobs whose answers are evicted.
     pub(crate) fn insert(&mut self, key: JobKey, answer: &JobAnswer) -> Vec<JobKey> {
         let bytes = answer_bytes(answer);
         self.stored_bytes += bytes;
@@ -63,7 +63,7 @@
         newest
     }
 
-    /// Frees the share of a job whose record is dropped.
+    /// Releases the bytes of a job whose record is dropped.
     pub(crate) fn remove(&mut self, key: JobKey) {
         self.release_bytes(key);
         while self
--- a/src/core/home/demand.rs
+++ b/src/core/home/demand.rs
@@ -1,31 +1,30 @@
-//! How a home asks runners for slots when it knows of none that is free.
+//! Demands: requests for slots, sent to runners when no free slot is known.
 
 use {
     super::{Home, HomeAction, runner_link::RunnerLink},
     crate::core::{message::HomeFrame, ticket::AgentId, time::Instant},
 };
 
-/// Runners asked on behalf of a single task.
+/// Minimum number of runners that are sent a demand.
 ///
-/// Each further one shortens the wait for the first offer, and costs a withdrawal.
+/// Each further runner shortens the wait for the first offer and costs a withdrawal.
 const MIN_FANOUT: usize = 3;
 /// Time without an offer after which a demand no longer counts and further runners are asked.
 ///
-/// Guards against asking only runners that can't start anything, as those of a zone that is out:
-/// the task would wait for them for good.
+/// A runner in a closed zone never makes an offer.
 const DEMAND_TIMEOUT_MS: u64 = 100;
-/// Wait of the oldest task from which on runners are asked, in milliseconds.
+/// Minimum wait of the oldest task before demands are sent, in milliseconds.
 ///
-/// A home whose own runners are busy with its tasks mostly learns of a free slot from the end of
-/// one of them within that time, and has asked for nothing.
+/// If the home's runners are busy with its own tasks, an outcome mostly reports a free slot within
+/// this time and no demand is needed.
 const DEMAND_DELAY_MS: u64 = 15;
-/// Jobs looked at, oldest first, when the demand is reckoned.
+/// Maximum number of jobs, oldest first, that the demand is computed from.
 const MAX_JOBS_COUNTED: usize = 32;
-/// Messages of a withdrawn demand, or of an offer that is handed back.
+/// Messages of one withdrawn demand, or of one offer that is returned.
 const MESSAGES_PER_WITHDRAWAL: u16 = 2;
 
 impl Home {
-    /// Tells runners how many tasks wait for their slots, or that none does any more.
+    /// Sends demands to runners while tasks wait for a slot, and withdraws them otherwise.
     ///
     /// Returns whether tasks wait.
     pub(super) fn update_demands(&mut self, now: Instant) -> bool {
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Since when the oldest job waits, and how many tasks wait in the first jobs.
+    /// Submission time of the oldest waiting job, and number of queued tasks in the oldest jobs.
     fn waiting_tasks(&self) -> Option<(Instant, usize)> {
         let mut jobs = self
             .waiting
@@ -79,8 +78,8 @@
         Some((since, jobs.map(|job| job.queued.len()).sum()))
     }
 
-    /// Runners of the oldest job that haven't been asked: own ones first, then those unheard for
-    /// longest, whose slots are the likeliest to have become free.
+    /// Candidates of the oldest job without a pending demand: preferred runners first, then those
+    /// with the oldest reports, whose slots are most likely free by now.
     fn select_runners(&self, now: Instant, waiting: usize) -> Vec<AgentId> {
         let Some(job) = self
             .waiting
--- a/src/core/home/dispatch.rs
+++ b/src/core/home/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which task starts next, and where.
+//! Selection of the next task and its runner.
 
 use {
     super::{
@@ -15,9 +15,9 @@
     },
 };
 
-/// When to come back after a job was given up in the queue, in milliseconds.
+/// Retry delay sent with a job that was dropped from the queue, in milliseconds.
 const TOO_LATE_RETRY_AFTER_MS: u64 = 500;
-/// Jobs that can't be placed which one event looks at.
+/// Maximum number of unplaceable jobs examined per event.
 const MAX_UNPLACED_JOBS: usize = 8;
 
 impl Home {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Starts what can be started, and asks for slots for the rest.
+    /// Starts the tasks that can be placed, and updates the demands for the rest.
     pub(super) fn place_tasks(&mut self, now: Instant) {
         let first_action = self.actions.len();
         self.dispatch(now);
@@ -51,8 +51,8 @@
 
     /// Starts queued tasks, oldest job first, while placement finds runners for them.
     ///
-    /// Only so many jobs that can't be placed are looked at, so that an event costs the same
-    /// however many jobs wait.
+    /// At most [`MAX_UNPLACED_JOBS`] jobs that can't be placed are examined, so the cost of an
+    /// event doesn't depend on the length of the queue.
     pub(super) fn dispatch(&mut self, now: Instant) {
         let mut unplaced = Vec::new();
         while unplaced.len() < MAX_UNPLACED_JOBS
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Whether none of a job's tasks has started and there is no time left to run one.
+    /// Whether no task of the job has started and too little time is left to run one.
     ///
-    /// Guards against work for nothing: a job admitted in hope of a shorter wait would hold slots
-    /// until its deadline, and its client gives it up then. It is told so now.
+    /// Such a job would occupy slots until its deadline for a result that the client no longer
+    /// waits for; it fails now instead.
     fn is_too_late(&self, now: Instant, key: JobKey) -> bool {
         self.running_job(key).is_some_and(|job| {
             let left_ms = job.deadline.millis_since(now);
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Starts what it can of one job; true if tasks are left in its queue.
+    /// Starts the tasks of one job that can be placed; true if some stay queued.
     fn dispatch_job(&mut self, now: Instant, key: JobKey) -> bool {
         if self.is_too_late(now, key) {
             let fail_reasons = (NotRunReason::Overloaded, MayHaveRunReason::DeadlinePassed);
--- a/src/core/home/hand_over.rs
+++ b/src/core/home/hand_over.rs
@@ -1,4 +1,4 @@
-//! A home's move to another process at a planned stop.
+//! Hand-over of a home to another process at a planned stop.
 
 use {
     super::{
@@ -13,14 +13,14 @@
     std::{collections::BTreeSet, sync::Arc},
 };
 
-/// Most bytes of answers that move, so that the records fit into one message.
+/// Limit for the answers handed over, so that the records fit into one message.
 const MAX_MOVED_ANSWERS_BYTES: usize = 16 << 20;
 
 impl Home {
-    /// Gives everything away; those who wait are told how far their jobs are and ask again.
+    /// Returns the records for the successor and replies to all waiters with the job's progress.
     ///
-    /// Guards against two processes that run the same jobs: from here on this home must not be
-    /// fed any more, whether or not the records are known to have arrived.
+    /// This home must handle no events afterwards, whether or not the records arrive: two processes
+    /// would run the same jobs.
     pub(crate) fn hand_over(&mut self, now: Instant) -> (HomeRecords, Vec<HomeAction>) {
         self.reply_progress_to_waiters();
         let records = HomeRecords {
@@ -76,11 +76,10 @@
             .collect()
     }
 
-    /// Goes on where a leaving home stopped, under its identity.
+    /// Resumes a handed-over home under its identity.
     ///
-    /// Guards against a second start: sessions are opened under the old identity with higher
-    /// epochs, which fences the old process at every runner, and what its runners hold is asked
-    /// for before any of it is tried anew.
+    /// No task starts twice: new sessions use higher epochs, which fences the old process at every
+    /// runner, and the status of outstanding tasks is queried before any is retried.
     pub(crate) fn adopt(
         now: Instant,
         records: HomeRecords,
@@ -143,7 +142,7 @@
         self.links.insert(moved.runner, link);
     }
 
-    /// Whether nothing is left that anyone could ask for.
+    /// Whether no job and no valid ticket is left.
     pub(crate) fn is_finished(&self) -> bool {
         self.jobs.is_empty() && self.tickets.is_empty()
     }
--- a/src/core/home/home.rs
+++ b/src/core/home/home.rs
@@ -1,4 +1,4 @@
-//! The home machine.
+//! The state machine of a home.
 
 use {
     super::{
@@ -26,17 +26,17 @@
     },
 };
 
-/// When to come back to another home, in milliseconds.
+/// Retry delay for clients of a home that is shutting down, in milliseconds.
 const LEAVING_RETRY_AFTER_MS: u64 = 50;
 
 /// Limits of a home.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HomeSettings {
-    /// For how long a granted ticket is good.
+    /// Lifetime of a granted ticket.
     pub(crate) ticket_ttl_ms: u64,
-    /// Most bytes of answers kept for resubmissions.
+    /// Maximum size of the answers stored for resubmissions.
     pub(crate) answers_limit_bytes: usize,
-    /// Silence of a runner after which its tasks are given up.
+    /// Time without a session after which a runner counts as lost.
     pub(crate) runner_lost_after_ms: u64,
 }
 
@@ -53,8 +53,9 @@
     pub(super) settings: HomeSettings,
     pub(super) tickets: TicketRegistry,
     pub(super) jobs: SlotMap<JobKey, JobRecord>,
-    /// How many of the jobs run; most are kept only for their answers.
+    /// Number of running jobs; the other records only hold answers.
     pub(super) running: usize,
+    /// Jobs that may have queued tasks, oldest first.
     pub(super) waiting: VecDeque<JobKey>,
     pub(super) answers: AnswerStore,
     pub(super) links: RunnerLinks,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Grants tickets to the entry that the next announcement goes to.
+    /// Grants a block of tickets for an announcement; none during shutdown.
     pub(crate) fn grant(&mut self, now: Instant, count: u32) -> Option<TicketGrant> {
         if self.leaving {
             return None;
@@ -105,7 +106,7 @@
         Some(self.tickets.grant(now, count))
     }
 
-    /// Jobs that have not ended.
+    /// Number of running jobs.
     pub(crate) fn running_count(&self) -> usize {
         debug_assert_eq!(
             self.running,
@@ -117,7 +118,7 @@
         self.running
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and returns the resulting actions.
     pub(crate) fn handle(&mut self, now: Instant, event: HomeEvent) -> Vec<HomeAction> {
         match event {
             HomeEvent::Submit {
@@ -227,10 +228,10 @@
         }
     }
 
-    /// Uses a ticket up without a job.
+    /// Marks a ticket as used without a job.
     ///
-    /// Guards against a submission that arrives after its cancellation, because it waited in a
-    /// socket or went through another entry: the canceller was told "not run", and so is it.
+    /// The cancellation was answered "not run", so a submission that arrives after it must not
+    /// start.
     fn cancel_unused(&mut self, ticket: Ticket) -> JobKey {
         let key = self.jobs.insert(JobRecord {
             ticket: ticket.id,
@@ -241,7 +242,7 @@
         key
     }
 
-    /// Lets someone wait for a job, or answers at once if it has ended.
+    /// Registers a waiter for a job, or replies at once if the job has ended.
     fn attach(
         &mut self,
         now: Instant,
@@ -291,8 +292,10 @@
         self.reply(waiter, JobStatus::Refused(verdict));
     }
 
-    /// Guards against a false "not run": a process that took the place of a ticket's home, at the
-    /// same address, knows nothing of what ran there.
+    /// Replies to a request for a ticket of another home.
+    ///
+    /// This process may have replaced that home at the same address and doesn't know what ran
+    /// there, so "not run" could be false.
     fn reply_foreign(&mut self, waiter: WaiterId) {
         let verdict = Verdict::may_have_run(MayHaveRunReason::HomeLost);
         self.reply(waiter, JobStatus::Refused(verdict));
@@ -302,7 +305,7 @@
         self.actions.push(HomeAction::Reply { waiter, status });
     }
 
-    /// This home's process.
+    /// The process that this home belongs to.
     pub(crate) const fn id(&self) -> AgentId {
         self.id
     }
--- a/src/core/home/home_event.rs
+++ b/src/core/home/home_event.rs
@@ -1,4 +1,4 @@
-//! What goes into the home and what comes out.
+//! Events and actions of the home state machine.
 
 use {
     crate::core::{
@@ -10,72 +10,68 @@
     std::net::SocketAddr,
 };
 
-/// Names someone in this process who waits for a reply.
+/// Identifies a pending reply within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaiterId(pub(crate) u64);
 
-/// Something that the home has to react to.
+/// An input of the home.
 #[derive(Debug)]
 pub(crate) enum HomeEvent {
     /// A submission or resubmission.
     Submit {
-        /// Who waits for the reply.
+        /// Receives the reply.
         waiter: WaiterId,
         /// The job's identity.
         ticket: Ticket,
-        /// Whether the client can come back only under this identity.
+        /// Whether the client can retry only under this identity.
         by_key: bool,
-        /// The job.
         spec: JobSpec,
-        /// A task of it fits on no worker of the configuration.
+        /// A task of the job fits on no worker of the configuration.
         impossible: bool,
-        /// Runners that could take its tasks.
+        /// Runners that could run its tasks.
         candidates: Vec<Candidate>,
-        /// For how long the reply may be held.
+        /// Maximum time to hold the reply.
         wait_ms: u64,
     },
-    /// A question after a job.
+    /// A status request for a job.
     Poll {
-        /// Who waits for the reply.
+        /// Receives the reply.
         waiter: WaiterId,
         /// The job's identity.
         ticket: Ticket,
-        /// Runners that could take its tasks now; empty if the asker doesn't know.
+        /// Runners that could run its tasks now; empty if the sender doesn't know.
         candidates: Vec<Candidate>,
-        /// For how long the reply may be held.
+        /// Maximum time to hold the reply.
         wait_ms: u64,
     },
-    /// The client gives the job up.
+    /// The client cancels the job.
     Cancel {
-        /// Who waits for the reply.
+        /// Receives the reply.
         waiter: WaiterId,
         /// The job's identity.
         ticket: Ticket,
     },
-    /// A frame came in on a session.
+    /// A frame received on a session.
     Frame {
         /// The runner that the session was opened to.
         runner: AgentId,
-        /// The session's epoch.
         epoch: u64,
-        /// The frame.
         frame: RunnerFrame,
     },
-    /// A session could not be opened, ended, or went silent.
+    /// A session could not be opened, was closed or timed out.
     SessionLost {
         /// The runner that the session was opened to.
         runner: AgentId,
-        /// The session's epoch.
         epoch: u64,
     },
-    /// The process is asked to stop: no new jobs.
+    /// The process is shutting down: no new jobs.
     Shutdown,
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
 impl HomeAction {
-    /// Whether this hands a task to a runner.
+    /// Whether this sends a start frame.
     pub(crate) const fn is_start(&self) -> bool {
         matches!(
             self,
@@ -87,45 +83,35 @@
     }
 }
 
-/// What the home wants done.
+/// An effect requested by the home.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum HomeAction {
     /// Open a session; its first frame is the hello.
     OpenSession {
-        /// The runner.
         runner: AgentId,
-        /// Where it listens.
+        /// Peer address of the runner.
         peer_addr: SocketAddr,
-        /// The session's epoch.
         epoch: u64,
     },
     /// Send a frame on the session of this epoch.
     Send {
-        /// The runner.
         runner: AgentId,
-        /// The session's epoch.
         epoch: u64,
-        /// The frame.
         frame: HomeFrame,
     },
-    /// Answer someone who waits.
-    Reply {
-        /// Who waits.
-        waiter: WaiterId,
-        /// The answer.
-        status: JobStatus,
-    },
-    /// Count a retry of a task by the reason of its refusal.
+    /// Reply to a waiter.
+    Reply { waiter: WaiterId, status: JobStatus },
+    /// Count a retry of a task by the reason for it.
     CountRetry(&'static str),
-    /// Count messages that served no start, by what they were.
+    /// Count messages of demands and offers that led to no start.
     CountWasted {
-        /// What they were.
+        /// Label of the metric.
         kind: &'static str,
-        /// How many.
+        /// Number of messages.
         messages: u16,
     },
-    /// Count a runner that is left alone from now on.
+    /// Count the ejection of a runner.
     CountEjection(EjectionReason),
-    /// Count a job's end by its verdict's reason.
+    /// Count an ended job by its verdict's reason.
     CountOutcome(&'static str),
 }
--- a/src/core/home/job_record.rs
+++ b/src/core/home/job_record.rs
@@ -1,4 +1,4 @@
-//! One job in the home.
+//! State of one job in the home.
 
 use {
     super::WaiterId,
@@ -13,34 +13,30 @@
     std::{collections::VecDeque, sync::Arc},
 };
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum TaskState {
     /// Waits for a runner.
     Queued,
-    /// Handed to a runner.
-    Started {
-        /// That runner.
-        runner: AgentId,
-    },
-    /// Over.
+    /// Sent to a runner.
+    Started { runner: AgentId },
+    /// Has its final outcome.
     Ended(TaskOutcome),
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug)]
 pub(crate) enum JobState {
-    /// Its tasks are being run.
     Running(Box<RunningJob>),
-    /// Its answer is kept.
+    /// Its answer is stored.
     Ended(Arc<JobAnswer>),
-    /// It ended, and its answer was dropped to save memory.
+    /// It ended, and its answer was evicted.
     Dropped,
-    /// Its ticket was cancelled before anything was submitted.
+    /// Its ticket was cancelled before a submission arrived.
     Cancelled,
 }
 
-/// What is needed only while a job runs.
+/// State that is needed only while a job runs.
 #[derive(Debug)]
 pub(crate) struct RunningJob {
     pub(crate) spec: JobSpec,
@@ -50,10 +46,10 @@
     pub(crate) tasks: Vec<TaskState>,
     pub(crate) queued: VecDeque<u16>,
     pub(crate) attempts: Vec<u8>,
-    /// Why an earlier try of a repeatable task may have run, if one may.
+    /// Why an earlier attempt of a repeatable task may have run, if one may.
     pub(super) earlier: Vec<Option<MayHaveRunReason>>,
     pub(crate) ended: u16,
-    /// When a runner first refused one of its tasks.
+    /// Time of the first refusal of one of its tasks.
     pub(crate) refused_since: Option<Instant>,
     pub(crate) waiters: Vec<WaiterId>,
 }
@@ -67,14 +63,14 @@
 }
 
 impl JobRecord {
-    /// Whether a submission with this digest is another job than the one recorded.
+    /// Whether a submission with this digest is another job than the recorded one.
     pub(crate) fn differs(&self, digest: &[u8; 32]) -> bool {
         !matches!(self.state, JobState::Cancelled) && self.digest != *digest
     }
 }
 
 impl RunningJob {
-    /// A job none of whose tasks has started.
+    /// A job with all tasks queued.
     pub(crate) fn new(now: Instant, spec: JobSpec, candidates: Vec<AgentId>) -> Self {
         let count = u16::try_from(spec.tasks.len()).unwrap_or(u16::MAX);
         Self {
@@ -92,7 +88,7 @@
         }
     }
 
-    /// Sets where each task stands, as another process recorded it.
+    /// Restores the state of the tasks after a hand-over.
     pub(super) fn restore_tasks(&mut self, tasks: Vec<TaskState>) {
         self.queued = tasks
             .iter()
@@ -109,13 +105,13 @@
         self.tasks = tasks;
     }
 
-    /// Whether its tasks have been refused for this long.
+    /// Whether the first refusal is at least this long ago.
     pub(crate) fn refused_for(&self, now: Instant, ms: u64) -> bool {
         self.refused_since
             .is_some_and(|since| now.millis_since(since) >= ms)
     }
 
-    /// How far the job is.
+    /// Number of ended tasks out of all.
     pub(crate) fn progress(&self) -> JobStatus {
         JobStatus::Running {
             ended: self.ended,
@@ -136,7 +132,7 @@
         })
     }
 
-    /// Ends a task; false if it had ended before.
+    /// Records the final outcome of a task; false if it already had one.
     pub(crate) fn end_task(&mut self, index: u16, outcome: TaskOutcome) -> bool {
         let outcome = self.with_earlier_attempts(usize::from(index), outcome);
         let Some(state) = self.tasks.get_mut(usize::from(index)) else {
@@ -150,7 +146,7 @@
         true
     }
 
-    /// Puts a task back in front of the queue; `outcome` is the end of the try just made.
+    /// Puts a task back at the front of the queue; `outcome` is that of the last attempt.
     pub(crate) fn requeue(&mut self, index: u16, outcome: &TaskOutcome) {
         if let TaskOutcome::MayHaveRun { reason } = outcome
             && let Some(earlier) = self.earlier.get_mut(usize::from(index))
@@ -163,10 +159,10 @@
         }
     }
 
-    /// The truth about a task whose last try ended so.
+    /// The outcome of a task with its earlier attempts taken into account.
     ///
-    /// Guards against a false "not run" for a repeatable task: its last try did not run, but an
-    /// earlier one, after which it was tried anew, may have.
+    /// If the last attempt of a repeatable task did not run but an earlier one may have, the task
+    /// may have run.
     fn with_earlier_attempts(&self, index: usize, outcome: TaskOutcome) -> TaskOutcome {
         match (outcome, self.earlier.get(index).copied().flatten()) {
             (TaskOutcome::NotRun { .. }, Some(reason)) => TaskOutcome::MayHaveRun { reason },
@@ -174,12 +170,11 @@
         }
     }
 
-    /// Whether all tasks have ended.
     pub(crate) fn is_complete(&self) -> bool {
         usize::from(self.ended) == self.tasks.len()
     }
 
-    /// Tasks that runners hold.
+    /// Tasks that were sent to a runner and have no outcome yet.
     pub(crate) fn started(&self) -> Vec<(u16, AgentId)> {
         self.tasks
             .iter()
@@ -191,7 +186,7 @@
             .collect()
     }
 
-    /// The truth for each task when the job ends here and now.
+    /// The outcome of each task if the job ends now.
     pub(crate) fn outcomes(
         &self,
         not_run: NotRunReason,
--- a/src/core/home/mod.rs
+++ b/src/core/home/mod.rs
@@ -1,4 +1,4 @@
-//! The home of jobs: deduplicates, fans out, gathers and answers.
+//! The home of jobs: deduplicates submissions, distributes tasks and collects their outcomes.
 
 mod admission;
 mod answer_store;
--- a/src/core/home/outcomes.rs
+++ b/src/core/home/outcomes.rs
@@ -1,4 +1,4 @@
-//! How tasks and jobs end at their home.
+//! Outcomes of tasks and jobs.
 
 use {
     super::{
@@ -16,16 +16,18 @@
     std::sync::Arc,
 };
 
-/// Starts of one task, but for those that met full slots, after which a home gives it up.
+/// Maximum number of attempts per task, not counting those refused for full slots.
 const MAX_ATTEMPTS: u8 = 8;
-/// Time after a job's first refusal from which on it may be given up: a permit's length, in which
-/// every runner that may start tasks at all has heard from an entry, in milliseconds.
+/// Minimum time after a job's first refusal before it may fail, in milliseconds.
+///
+/// This is the length of a permit: every runner that may start tasks has renewed its permit by
+/// then.
 const REFUSAL_TIMEOUT_MS: u64 = 3_000;
-/// When to come back after no runner took a task, in milliseconds.
+/// Retry delay sent with a job that no runner accepted, in milliseconds.
 const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Home {
-    /// Takes in the end of one start of a task: retries it, ends it, or fails the job.
+    /// Applies the outcome of one attempt: retries the task, ends it, or fails the job.
     pub(super) fn apply_outcome(
         &mut self,
         now: Instant,
@@ -60,7 +62,7 @@
         if let Some(reason) = retry {
             let was_queued = !job.queued.is_empty();
             if reason == NotRunReason::SlotsFull.as_str() {
-                // Full slots say nothing of the task: that try doesn't count.
+                // Full slots are no property of the task, so the attempt doesn't count.
                 job.attempts[usize::from(index)] = attempts.saturating_sub(1);
             } else {
                 job.refused_since.get_or_insert(now);
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Ends a job before all its tasks are done, with the truth for each task.
+    /// Ends a job before all its tasks are done, and cancels the tasks that were started.
     pub(super) fn fail_job(
         &mut self,
         key: JobKey,
@@ -152,7 +154,7 @@
         self.store_answer(key, &answer);
     }
 
-    /// Keeps an answer for resubmissions, at the cost of the oldest ones.
+    /// Stores an answer for resubmissions and evicts the oldest ones above the limit.
     pub(super) fn store_answer(&mut self, key: JobKey, answer: &JobAnswer) {
         for old in self.answers.insert(key, answer) {
             if let Some(record) = self.jobs.get_mut(old)
@@ -164,7 +166,7 @@
     }
 }
 
-/// A job none of whose tasks may have run is itself "not run".
+/// The verdict of a failed job: "not run" only if none of its tasks may have run.
 fn verdict_of(
     outcomes: &[TaskOutcome],
     not_run: NotRunReason,
@@ -189,6 +191,6 @@
             retry_after_ms,
         };
     }
-    // The answer is final: asking again can't change it.
+    // The answer is final, so there is no retry delay.
     Verdict::may_have_run(first_fault.unwrap_or(may_have_run))
 }
--- a/src/core/home/records.rs
+++ b/src/core/home/records.rs
@@ -1,4 +1,4 @@
-//! What a home hands over to its successor at a planned stop.
+//! The records that a home hands over to its successor at a planned stop.
 
 use {
     super::job_record::TaskState,
@@ -11,20 +11,20 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Everything that a home knows, with ages in place of its own clock's instants.
+/// The complete state of a home, with ages instead of instants of its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HomeRecords {
-    /// The home that its tickets name, also from now on.
+    /// The home that the tickets name; the successor keeps this identity.
     pub(crate) home: AgentId,
-    /// Verifies the tickets that it granted.
+    /// Verifies the granted tickets.
     pub(crate) secret: GrantSecret,
-    /// Number that the next grant would have had.
+    /// Number of the next grant.
     pub(crate) next_generation: u32,
-    /// Epoch of the newest session to any runner; the successor's are higher and fence it.
+    /// Epoch of the newest session to any runner; the successor fences it with higher epochs.
     pub(crate) last_epoch: u64,
-    /// The generations that are still good, oldest first.
+    /// The valid generations, oldest first.
     pub(crate) generations: Vec<GenerationRecord>,
-    /// The jobs under used tickets; ended ones in the order of their ends.
+    /// The jobs under used tickets; ended ones in the order in which they ended.
     pub(crate) jobs: Vec<MovedJob>,
     /// Runners that hold tasks.
     pub(crate) links: Vec<MovedLink>,
@@ -33,62 +33,57 @@
 /// One generation of tickets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GenerationRecord {
-    /// Its number.
     pub(crate) number: u32,
     /// Time since it was granted.
     pub(crate) age_ms: u64,
-    /// Whether no job may begin under it any more.
+    /// Whether no job may start under it any more.
     pub(crate) closed: bool,
 }
 
 /// One job under its ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MovedJob {
-    /// The ticket.
     pub(crate) ticket: TicketId,
     /// Digest of the submission.
     pub(crate) digest: [u8; 32],
-    /// Where it stands.
     pub(crate) state: MovedState,
 }
 
-/// Where a moved job stands.
+/// State of a moved job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum MovedState {
-    /// It goes on at the successor.
+    /// It continues at the successor.
     Running(Box<MovedRunning>),
     /// It ended with this answer.
     Ended(Arc<JobAnswer>),
-    /// It ended, and its answer is gone.
+    /// It ended, and its answer was evicted or not handed over.
     Dropped,
-    /// Its ticket was cancelled before anything was submitted.
+    /// Its ticket was cancelled before a submission arrived.
     Cancelled,
 }
 
-/// A job that goes on at the successor.
+/// A job that continues at the successor.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MovedRunning {
     /// The submission.
     pub(crate) spec: JobSpec,
     /// Time left until its deadline.
     pub(crate) left_ms: u64,
-    /// Runners that could take its tasks.
+    /// Runners that could run its tasks.
     pub(crate) candidates: Vec<AgentId>,
-    /// Its tasks.
     pub(crate) tasks: Vec<TaskState>,
-    /// Starts of each task so far.
+    /// Number of attempts per task.
     pub(crate) attempts: Vec<u8>,
-    /// Why an earlier try of each task may have run.
+    /// Why an earlier attempt of each task may have run.
     pub(crate) earlier: Vec<Option<MayHaveRunReason>>,
 }
 
 /// A runner that holds tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MovedLink {
-    /// The runner.
     pub(crate) runner: AgentId,
-    /// Where it listens.
+    /// Its peer address.
     pub(crate) peer_addr: SocketAddr,
-    /// Its tasks, with the epoch of the session that each was started on.
+    /// Its tasks, each with the epoch of the session on which it was started.
     pub(crate) outstanding: Vec<(TaskRef, u64)>,
 }
--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -1,4 +1,4 @@
-//! What a home knows of one runner.
+//! A home's view of one runner.
 
 use {
     crate::core::{
@@ -12,29 +12,28 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Pause before a lost session is opened anew, in milliseconds.
+/// Delay before a session that failed to open is retried.
 const RECONNECT_INTERVAL_MS: u64 = 100;
-/// Pause after a refusal that isn't about slots, in milliseconds.
+/// Time without new starts after a refusal for another reason than full slots.
 const REFUSAL_RETRY_INTERVAL_MS: u64 = 250;
 
-/// For how long after a job that could use a runner its session is reopened, in milliseconds.
+/// Time after the last job that could use a runner during which its session is reopened.
 const SESSION_RETENTION_MS: u64 = 30_000;
 
-/// Age of a report from which on another home has probably started something there, in
-/// milliseconds.
+/// Age from which a report is stale: another home has probably used the slots since.
 const STALE_REPORT_MS: u64 = 50;
 
-/// Where the session to a runner stands.
+/// State of the session to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkState {
-    /// No session; one may be opened from `retry_at` on.
+    /// No session is open.
     Closed {
-        /// Not before this.
+        /// Earliest time of the next attempt.
         retry_at: Instant,
     },
-    /// The hello is under way.
+    /// The hello was sent.
     Opening,
-    /// The runner has welcomed the session.
+    /// The runner sent its welcome.
     Open,
 }
 
@@ -42,21 +41,21 @@
 #[derive(Debug)]
 pub(crate) struct RunnerLink {
     pub(crate) peer_addr: SocketAddr,
-    /// What became of the tasks that it was given.
+    /// Health, from the outcomes of its tasks.
     pub(crate) health: RunnerHealth,
-    /// This home looks to the runner first.
+    /// Whether this home prefers the runner.
     pub(crate) own: bool,
     pub(crate) state: LinkState,
-    /// Epoch of the newest session, zero before the first.
+    /// Epoch of the newest session; zero before the first.
     pub(crate) epoch: u64,
-    /// Since when no session has been open, while tasks are outstanding.
+    /// Start of the current period without an open session.
     pub(crate) disconnected_since: Option<Instant>,
-    /// Tasks there, with the epoch that they were started on.
+    /// Tasks there, each with the epoch on which it was started.
     pub(crate) outstanding: BTreeMap<TaskRef, u64>,
     started_at: BTreeMap<TaskRef, Instant>,
-    /// Tasks that wait for a slot there, as last told to it.
+    /// Number of tasks in the last demand sent, less the offers received since.
     pub(crate) demanded_tasks: u16,
-    /// When it was told so.
+    /// When the last demand was sent.
     pub(crate) demanded_at: Instant,
     free: FreeSlots,
     /// Starts sent on the newest session.
@@ -67,7 +66,7 @@
 }
 
 impl RunnerLink {
-    /// A runner named by an entry.
+    /// A closed link to a runner that an entry named.
     pub(crate) fn new(now: Instant, candidate: &Candidate) -> Self {
         Self {
             peer_addr: candidate.peer_addr,
@@ -92,60 +91,59 @@
         }
     }
 
-    /// Takes in how many slots the runner has free.
+    /// Records the free slots that the runner reported.
     pub(crate) fn report_free(&mut self, now: Instant, free: FreeSlots) {
         self.free = free;
         self.last_report_at = now;
     }
 
-    /// Takes in that a slot is held there for this home.
+    /// Records an offer: a slot that is held for this home.
     pub(crate) fn apply_offer(&mut self, now: Instant, free: FreeSlots) {
         self.report_free(now, free);
         self.demanded_tasks = self.demanded_tasks.saturating_sub(1);
     }
 
-    /// Slots that can be counted on: starts under way to the runner are taken off.
+    /// Free slots, less the starts in flight.
     ///
-    /// Guards against counting a slot twice: a report that crosses a start on the way doesn't
-    /// know of it, and the next start would be refused.
+    /// A report that crosses a start doesn't include it, and the slot would be counted twice.
     pub(crate) fn free_slots(&self) -> u16 {
         self.free.slots.saturating_sub(self.starts_in_flight())
     }
 
-    /// Slots that are likely to be free still.
+    /// Free slots that are probably still free.
     ///
-    /// Another home looks first to a runner that isn't this one's own: its last report is old
-    /// news, and a start on the only slot in it would mostly be refused.
+    /// A runner that isn't this home's own is preferred by another home, which has probably used a
+    /// slot since a stale report.
     fn estimated_free_slots(&self, now: Instant) -> u16 {
         let is_stale = now.millis_since(self.last_report_at) >= STALE_REPORT_MS;
         self.free_slots()
             .saturating_sub(u16::from(is_stale && !self.own))
     }
 
-    /// Slots held there for this home that no start is under way to.
+    /// Slots held for this home, less the starts in flight.
     pub(crate) fn offered_slots(&self) -> u16 {
         self.free.held.saturating_sub(self.starts_in_flight())
     }
 
-    /// Gives back what is held there, and asks for nothing more.
+    /// Returns the held slots and clears the demand.
     pub(crate) fn withdraw_demand(&mut self) {
         self.demanded_tasks = 0;
         self.free.slots -= self.free.held;
         self.free.held = 0;
     }
 
-    /// Starts that the runner had not seen when it last reported.
+    /// Starts that the runner had not received when it last reported.
     fn starts_in_flight(&self) -> u16 {
         let in_flight = self.starts_sent.saturating_sub(self.free.starts_seen);
         u16::try_from(in_flight).unwrap_or(u16::MAX)
     }
 
-    /// Leaves the runner alone for a while.
+    /// Sends no tasks to the runner for [`REFUSAL_RETRY_INTERVAL_MS`].
     pub(crate) fn pause(&mut self, now: Instant) {
         self.paused_until = now.plus_ms(REFUSAL_RETRY_INTERVAL_MS);
     }
 
-    /// Notes that a task was sent there.
+    /// Records a start sent to the runner.
     pub(crate) fn record_start(&mut self, now: Instant, task: TaskRef) {
         self.outstanding.insert(task, self.epoch);
         self.started_at.insert(task, now);
@@ -158,29 +156,29 @@
         self.state == LinkState::Open && now >= self.paused_until && under_limit
     }
 
-    /// A job that the runner could take tasks of was submitted or asked after.
+    /// Extends the time during which the session is reopened.
     pub(crate) fn request_session(&mut self, now: Instant) {
         self.session_wanted_until = now.plus_ms(SESSION_RETENTION_MS);
     }
 
-    /// Whether a session is of use.
+    /// Whether the session is to be reopened if it is closed.
     pub(crate) fn is_session_wanted(&self, now: Instant) -> bool {
         now < self.session_wanted_until || !self.outstanding.is_empty()
     }
 
-    /// Forgets a task that has ended there; how long it took, if it was there.
+    /// Removes a task and returns its run time, or none if the task was not outstanding.
     pub(crate) fn remove_task(&mut self, now: Instant, task: &TaskRef) -> Option<u64> {
         self.outstanding.remove(task)?;
         let started_at = self.started_at.remove(task).unwrap_or(now);
         Some(now.millis_since(started_at))
     }
 
-    /// Whether no end of a task there can tell of a free slot.
+    /// Whether no task is outstanding, so that no outcome can report a free slot.
     pub(crate) fn is_idle(&self) -> bool {
         self.outstanding.is_empty()
     }
 
-    /// What placement sees.
+    /// The runner as placement sees it.
     pub(crate) fn view(&self, now: Instant) -> RunnerView {
         RunnerView {
             own: self.own,
@@ -190,7 +188,7 @@
         }
     }
 
-    /// Notes the session's end and sets when to try anew.
+    /// Closes the link and sets the time of the next attempt.
     pub(crate) fn record_disconnect(&mut self, now: Instant) {
         let failed_to_open = self.state == LinkState::Opening;
         let pause_ms = if failed_to_open {
@@ -206,11 +204,10 @@
         }
     }
 
-    /// The next epoch to open, if a session is wanted and may be opened now.
+    /// Starts a new session attempt and returns its epoch, if one may be opened now.
     ///
-    /// `last_epoch` counts the sessions of the whole home. Guards against a runner that refuses
-    /// its home for good: a link that was given up and met anew goes on counting where the runner
-    /// last saw it, so its sessions are newer than those that the runner remembers.
+    /// `last_epoch` is shared by all links of the home. A link that was removed and created again
+    /// continues with higher epochs, so the runner doesn't refuse its sessions as stale.
     pub(crate) fn next_epoch(&mut self, now: Instant, last_epoch: &mut u64) -> Option<u64> {
         match self.state {
             LinkState::Closed { retry_at } if now >= retry_at => {
@@ -227,5 +224,5 @@
     }
 }
 
-/// All runners that a home has met.
+/// Links to all known runners.
 pub(crate) type RunnerLinks = BTreeMap<AgentId, RunnerLink>;
--- a/src/core/home/sessions.rs
+++ b/src/core/home/sessions.rs
@@ -1,4 +1,4 @@
-//! The home's sessions with runners: what is outstanding there, and what became of it.
+//! The home's sessions with runners and the tasks outstanding on them.
 
 use {
     super::{Home, HomeAction, runner_link::LinkState, ticket_registry::TicketState},
@@ -69,11 +69,11 @@
         });
     }
 
-    /// Takes in what became of a start that the home asked after.
+    /// Applies the status of a start that the home queried.
     ///
-    /// Guards against a second start: the refusal of the first one may arrive ahead of this
-    /// report, and the task be started anew by then. The report's epoch tells which start it
-    /// speaks of, since only starts of earlier sessions are asked after.
+    /// The refusal of that start may have arrived earlier and the task may have been started again.
+    /// Only starts of earlier sessions are queried, so the epoch in the report tells which start it
+    /// means.
     fn on_status(&mut self, now: Instant, runner: AgentId, report: StatusReport) {
         let outstanding = self
             .links
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Gives up all tasks of a runner whose process is gone.
+    /// Removes a lost runner and fails the attempts outstanding there.
     pub(super) fn remove_runner(&mut self, now: Instant, runner: AgentId) {
         let Some(link) = self.links.remove(&runner) else {
             return;
--- a/src/core/home/tests.rs
+++ b/src/core/home/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the home machine, together with the runner machine that it talks to.
+//! Tests of the home state machine together with the runner state machine.
 
 #![allow(
     clippy::expect_used,
--- a/src/core/home/tests/faults.rs
+++ b/src/core/home/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Single failures, each with its story.
+//! Tests of single failures.
 
 use {
     super::simulation::{Simulation, job},
@@ -8,9 +8,7 @@
     },
 };
 
-/// An auditor's job has a long deadline and its ticket was granted long before. The ticket's
-/// time is over while the job runs; the home drops the generation with the running job in it,
-/// and the auditor's request is never answered at all.
+/// A ticket that expires during the run must not drop the record of the running job.
 #[test]
 fn ticket_expiry_during_a_run_does_not_drop_the_answer() {
     let mut sim = Simulation::new(1, 2);
@@ -27,9 +25,8 @@
     assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
 
-/// A client's ticket is cancelled before its submission arrives: the POST waits in a socket, the
-/// DELETE goes through another entry and is told "not run". Then the POST arrives and the share
-/// is paid all the same, although the office has paid it by hand.
+/// A submission that is delayed behind its cancellation must not start: the client was told "not
+/// run".
 #[test]
 fn a_submission_after_its_cancellation_is_not_started() {
     let mut sim = Simulation::new(1, 2);
@@ -43,9 +40,7 @@
     assert!(sim.starts.is_empty());
 }
 
-/// A runner is cut off for longer than the limit, with many sessions behind it, and comes back.
-/// The home has forgotten the runner's link and counts sessions from one again, so the runner
-/// refuses every session as an old one: the worker stays idle although it is healthy.
+/// A runner that was removed as lost must not refuse the home's new sessions as stale.
 #[test]
 fn a_lost_runner_is_used_again_after_it_reconnects() {
     let mut sim = Simulation::new(1, 2);
@@ -70,9 +65,7 @@
     assert_eq!(sim.answer(later).verdict, Verdict::Done);
 }
 
-/// All slots are taken by other homes for minutes; a task is offered again each time the runner
-/// says it has a slot. After 255 refusals the count of tries overflows and the home dies with
-/// all its jobs.
+/// More than 255 refusals of one task must not overflow the count of its attempts.
 #[test]
 fn hundreds_of_refusals_do_not_overflow_the_attempt_count() {
     let mut sim = Simulation::new(1, 0);
@@ -96,9 +89,8 @@
     );
 }
 
-/// A runner's acknowledgement is lost and the runner given up; when it returns, a repeatable task
-/// is offered to it again. It still keeps the first outcome and takes the start for a doubled
-/// frame: it stays mute, and the letting agent waits until the deadline for an answer that exists.
+/// A runner that still has the outcome of a task must return it when the task is started again,
+/// instead of ignoring the start as a duplicate frame.
 #[test]
 fn a_repeated_start_of_an_ended_task_returns_its_outcome() {
     let mut sim = Simulation::new(1, 2);
@@ -110,9 +102,9 @@
         sim.break_session(sim.session_count() - 1);
         sim.advance(100);
     }
-    // The runner ends the task while the home has given it up.
+    // The runner finishes the task after the home has removed the runner.
     sim.finish(0, 3);
-    // The entry asks again, as it does every second, and names the runner anew.
+    // The entry polls again and names the runner as a candidate.
     sim.poll(ticket, 0);
     for _ in 0..10 {
         sim.deliver_all();
@@ -122,9 +114,7 @@
     assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
 
-/// A home hangs for ten seconds (its host pages or is frozen) just after a session broke. When it
-/// wakes, its clock says that the runner was silent for ten seconds, and jobs fail although
-/// nobody had tried to reach the runner in that time.
+/// A pause of the home's process just after a disconnect must not count as time without a session.
 #[test]
 fn a_pause_of_the_home_process_does_not_time_out_its_runners() {
     let mut sim = Simulation::new(1, 2);
@@ -139,8 +129,7 @@
     assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
-/// A job fails at one of its tasks while others run and others wait. The office must know for
-/// each share whether it may have been paid; what waits must never start.
+/// A failing job reports for each task whether it may have run, and its queued tasks never start.
 #[test]
 fn a_failing_job_reports_each_task_outcome_and_starts_no_more_tasks() {
     let mut sim = Simulation::new(1, 3);
@@ -168,11 +157,10 @@
     let started = sim.starts.len();
     sim.run_until(8_000);
     assert_eq!(sim.starts.len(), started);
-    assert!(!sim.stopped.is_empty(), "running tasks are told to stop");
+    assert!(!sim.stopped.is_empty(), "running tasks are stopped");
 }
 
-/// A repeatable look-up ran on a worker that was then replaced; it waits to be tried again when
-/// the client cancels. "Not run" would be false: the first try may have run.
+/// A task that waits for a retry when the job is cancelled may have run in its earlier attempt.
 #[test]
 fn a_task_queued_for_retry_is_not_reported_as_not_run() {
     let mut sim = Simulation::new(1, 1);
@@ -188,9 +176,8 @@
     assert_eq!(outcome, TaskOutcome::MayHaveRun { reason });
 }
 
-/// An agent is stopped in the middle of a job whose tasks run, wait and have ended. Its successor
-/// must neither start them again nor forget one, and ask the runners before it decides; a ticket
-/// that was granted before and is used later runs once.
+/// A successor must neither start running or ended tasks again nor lose one, and a ticket granted
+/// before the hand-over runs once.
 #[test]
 fn a_hand_over_starts_no_task_twice_and_drops_no_answer() {
     let mut sim = Simulation::new(2, 2);
@@ -217,8 +204,8 @@
     assert!(sim.starts.values().all(|count| *count == 1));
 }
 
-/// An agent is replaced at the same address; an entry that hasn't heard yet asks the new process
-/// for a job of the old one. "Forged, not run" would be false: the job may have run.
+/// A process that replaced a home at its address doesn't know whether the job ran, so it must not
+/// report "not run".
 #[test]
 fn a_ticket_of_another_home_is_not_reported_as_not_run() {
     let mut sim = Simulation::new(1, 2);
@@ -229,8 +216,8 @@
     assert_eq!(sim.reply(waiter), &JobStatus::Refused(lost));
 }
 
-/// A worker has just been started and has its permit in a second; there is no other. A job that
-/// has a minute is told "not run" after two thirds of a second, since eight tries were refused.
+/// A job with time left must not fail because all attempts were refused before the only worker got
+/// its permit.
 #[test]
 fn a_job_waits_until_a_runner_receives_its_permit() {
     let mut sim = Simulation::new(3, 2);
@@ -248,9 +235,8 @@
     assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
-/// A bank's key meets a moment in which no worker can start its job, and it is told "not run" and
-/// when to come back. It comes back with the same key, which is bound to the same ticket, and is
-/// told the same as long as it tries, although there is room by now.
+/// A client with a key of its own must be able to retry a job that did not run; the key stays bound
+/// to the same ticket.
 #[test]
 fn a_key_whose_job_did_not_run_can_be_resubmitted() {
     let mut sim = Simulation::new(1, 2);
@@ -269,7 +255,7 @@
     assert_eq!(
         sim.answer(same_ticket),
         sim.answer(refused),
-        "a ticket stays used up"
+        "the ticket stays used"
     );
     let later = sim.submit_by_key(ticket, spec.clone(), 500);
     sim.run_until(3_000);
@@ -279,8 +265,8 @@
     assert!(sim.starts.values().all(|count| *count == 1));
 }
 
-/// A worker is in a zone that is out, and no other serves the job. The client gets "not run", and
-/// with it a time to come back: without one its program takes the refusal for one that lasts.
+/// A rejection that is temporary must carry a retry delay, or the client takes it for a permanent
+/// one.
 #[test]
 fn a_job_refused_by_all_runners_gets_a_retry_after() {
     let mut sim = Simulation::new(1, 2);
@@ -296,34 +282,31 @@
     assert!(verdict.retry_after_ms() > 0, "{verdict:?}");
 }
 
-/// A session breaks and a new one is opened while the backend server refuses a task. The home
-/// asks what became of it, hears of the refusal first and starts the task anew on the same
-/// runner. Then the answer to its question arrives, "never started", which speaks of the first
-/// start: the home takes it for the second one and starts the task elsewhere as well. The share
-/// is paid twice.
+/// The refusal of the first start arrives before the status "never started" of that start. The
+/// status must not be applied to the second start, or the task runs twice.
 #[test]
 fn a_late_status_of_an_earlier_start_does_not_start_a_task_twice() {
     let mut sim = Simulation::new(2, 1);
     let ticket = sim.tickets(1)[0];
     let waiter = sim.submit(ticket, job(1, false, 20_000), 20_000);
     let (first, other, second) = (0, 1, 2);
-    // Only the first runner welcomes the home, so the task starts there.
+    // Only the first runner sends its welcome, so the task starts there.
     sim.deliver_to_runner(first);
     sim.deliver_to_home(first);
     sim.deliver_to_runner(first);
     sim.break_session(first);
-    // The hello arrives; the refusal goes out on the new session, behind the welcome.
+    // The hello arrives; the refusal is sent on the new session, behind the welcome.
     sim.deliver_to_runner(second);
     sim.finish(0, 2);
     sim.deliver_to_home(second);
-    // The question arrives, and its answer is under way behind the refusal.
+    // The query arrives, and its response is in flight behind the refusal.
     sim.deliver_to_runner(second);
     sim.deliver_to_home(second);
     sim.advance(300);
     sim.deliver_to_runner(second);
     assert_eq!(sim.starts.values().sum::<u32>(), 1, "started anew");
     sim.deliver_to_home(second);
-    // The other runner welcomes the home and could take a task that waits.
+    // The other runner sends its welcome and could run a queued task.
     sim.deliver_to_runner(other);
     sim.deliver_to_home(other);
     sim.deliver_to_runner(other);
@@ -332,10 +315,8 @@
     assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
-/// A share is paid twice. A session breaks, and on the new one the home asks what became of the
-/// task; a refusal by the backend server crosses that question, and the task is started there
-/// again. Then the reply comes: "never started". It means the first start, and the home takes it
-/// for the second and starts the running task elsewhere.
+/// The query about the first start reaches the runner after the refusal of that start, together with
+/// the second start. Its status must not be applied to the second start.
 #[test]
 fn a_status_of_an_earlier_start_is_not_applied_to_a_later_one() {
     let mut sim = Simulation::new(2, 1);
--- a/src/core/home/tests/interleavings.rs
+++ b/src/core/home/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Random interleavings of everything that can happen, against a naive model in one map.
+//! Random interleavings of all events, compared with a simple model.
 
 use {
     super::simulation::{Simulation, job},
@@ -17,10 +17,10 @@
 
 const TICKETS: usize = 5;
 const NODES: usize = 3;
-/// Every deadline and every ticket is over by then.
+/// Every deadline and every ticket has expired by then.
 const END_MS: u64 = 60_000;
 
-/// One thing that happens.
+/// One event of an interleaving.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Submit { ticket: usize, wait_ms: u64 },
@@ -55,7 +55,7 @@
     ]
 }
 
-/// Tickets by number: jobs of different sizes and deadlines, number 1 and 3 repeatable.
+/// Jobs of different sizes and deadlines; those of tickets 1 and 3 are repeatable.
 fn spec_of(ticket: usize) -> crate::core::job::JobSpec {
     let deadline_ms = if ticket == 4 { 30_000 } else { 4_000 };
     job(ticket + 1, is_repeatable(ticket), deadline_ms)
@@ -65,12 +65,12 @@
     ticket % 2 == 1
 }
 
-/// Number 2 comes with a key: after "not run" it may run later, and once.
+/// Ticket 2 comes with a client's key: after "not run" it may still run once.
 const fn is_keyed(ticket: usize) -> bool {
     ticket == 2
 }
 
-/// What happened, in one map: the model that the machines are compared with.
+/// The model: waiters with their tickets, and the first answer per ticket.
 #[derive(Debug, Default)]
 struct Model {
     waiters: BTreeMap<WaiterId, usize>,
@@ -78,7 +78,7 @@
 }
 
 fn apply_step(sim: &mut Simulation, model: &mut Model, tickets: &[Ticket], step: Step) {
-    // Mostly the newest sessions, where most goes on.
+    // Counts from the newest session, where most frames are in flight.
     let session = |number: usize, sim: &Simulation| {
         let count = sim.session_count().max(1);
         (count - 1).saturating_sub(number)
@@ -212,9 +212,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// A deckhand's share is paid twice, or the office is told "not run" and pays it again by
-    /// hand, when starts, refusals, silence, new sessions, restarts, late frames, resubmissions,
-    /// cancellations and deadlines cross in an order that nobody thought of.
+    /// No interleaving of starts, refusals, disconnects, restarts, late frames, resubmissions,
+    /// cancellations and deadlines may start a task twice that isn't repeatable, or report "not run"
+    /// for a task that ran.
     #[test]
     fn random_interleavings_preserve_the_guarantees(steps in prop::collection::vec(step(), 1..160)) {
         let mut sim = Simulation::new(NODES, 2);
--- a/src/core/home/tests/memory.rs
+++ b/src/core/home/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What ended jobs cost.
+//! Memory used by ended jobs.
 
 use {
     super::simulation::{Simulation, job},
@@ -9,15 +9,14 @@
     },
 };
 
-/// Ten minutes of jobs at 100 a second.
+/// Ten minutes at 100 jobs per second.
 const JOBS: u32 = 60_000;
 const TASKS: usize = 5;
 const OUTPUT_BYTES: usize = 200;
 const LIMIT_MB: i64 = 64;
 
-/// A bank asks again for an answer that it got nine minutes ago. The home has run 60,000 jobs
-/// since with 66 MB of answers: either it keeps them all and its small host runs out of memory,
-/// or the answer is gone, and the bank must hear that its job ran and not that it did not.
+/// The answers of ended jobs must not grow without bound, and a resubmission whose answer was
+/// evicted must be told that the job may have run.
 #[test]
 fn stored_answers_stay_under_the_limit_and_a_dropped_answer_is_reported() {
     let mut sim = Simulation::new(1, 8);
--- a/src/core/home/tests/sessions.rs
+++ b/src/core/home/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions between the home and its runners, on which frames are late, cut off and crossed.
+//! Simulated sessions, on which frames are delayed, cut off or overtaken.
 
 use {
     super::simulation::Simulation,
@@ -11,13 +11,13 @@
     std::{collections::VecDeque, net::SocketAddr},
 };
 
-/// A session with the frames under way on it.
+/// A session with its frames in flight.
 #[derive(Debug)]
 pub(super) struct Session {
     runner: AgentId,
     epoch: u64,
     node: usize,
-    /// The process behind the address when the session was opened.
+    /// The process at the address when the session was opened.
     incarnation: u64,
     pub(super) id: SessionId,
     to_runner: VecDeque<HomeFrame>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Delivers the next frame of a session to its runner, also long after the home lost it.
+    /// Delivers the next frame of a session to its runner, even after the home disconnected.
     pub(super) fn deliver_to_runner(&mut self, number: usize) {
         let Some(session) = self.sessions.get_mut(number) else {
             return;
@@ -74,7 +74,7 @@
         self.send_runner_event(node, RunnerEvent::Frame { session, frame });
     }
 
-    /// Delivers the next frame of a session to the home, also after a newer one was opened.
+    /// Delivers the next frame of a session to the home, even after a newer session was opened.
     pub(super) fn deliver_to_home(&mut self, number: usize) {
         let Some(session) = self.sessions.get_mut(number) else {
             return;
@@ -93,7 +93,7 @@
         });
     }
 
-    /// The home finds a session lost; what is under way on it may still arrive.
+    /// Disconnects the home; frames in flight may still arrive.
     pub(super) fn break_session(&mut self, number: usize) {
         let Some(session) = self.sessions.get_mut(number) else {
             return;
@@ -105,7 +105,7 @@
         self.send_event(HomeEvent::SessionLost { runner, epoch });
     }
 
-    /// The runner finds a session lost, with all that was under way to it.
+    /// Disconnects the runner and drops the frames in flight to the home.
     pub(super) fn close_at_runner(&mut self, number: usize) {
         let Some(session) = self.sessions.get_mut(number) else {
             return;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Delivers everything under way, oldest session first.
+    /// Delivers all frames in flight, oldest session first.
     pub(super) fn deliver_all(&mut self) {
         let mut number = 0;
         while number < self.sessions.len() {
--- a/src/core/home/tests/simulation.rs
+++ b/src/core/home/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! One home and a few runners on a network that delays, breaks and crosses everything.
+//! One home and a few runners on a network with delays, disconnects and reordering.
 
 use {
     super::sessions::Session,
@@ -27,7 +27,7 @@
     version: u64,
 }
 
-/// Everything, with the witness of starts and of replies.
+/// The simulated processes, with all starts and replies recorded.
 #[derive(Debug)]
 pub(super) struct Simulation {
     pub(super) now_ms: u64,
@@ -117,7 +117,7 @@
         Instant::from_millis(self.now_ms)
     }
 
-    /// Grants a block and returns its first tickets.
+    /// Grants a block of tickets and returns them.
     pub(super) fn tickets(&mut self, count: u32) -> Vec<Ticket> {
         let grant = self.home.grant(self.now(), count).expect("grant");
         (0..count).map(|counter| grant.ticket(counter)).collect()
@@ -186,7 +186,7 @@
         waiter
     }
 
-    /// The single reply that this waiter must have got by now.
+    /// The single reply of this waiter; panics otherwise.
     pub(super) fn reply(&self, waiter: WaiterId) -> &JobStatus {
         match self.replies.get(&waiter).map(Vec::as_slice) {
             Some([status]) => status,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The final answer that this waiter must have got by now.
+    /// The final answer of this waiter; panics otherwise.
     pub(super) fn answer(&self, waiter: WaiterId) -> Arc<JobAnswer> {
         match self.reply(waiter) {
             JobStatus::Ended(answer) => Arc::clone(answer),
@@ -252,7 +252,7 @@
         }
     }
 
-    /// A backend server ends its oldest running task; `kind` picks how.
+    /// The backend server ends its oldest task with the outcome that `kind` selects.
     pub(super) fn finish(&mut self, node: usize, kind: u8) {
         if self.nodes[node].running.is_empty() {
             return;
@@ -266,7 +266,7 @@
                 reason: MayHaveRunReason::BackendLost,
             },
             2 => {
-                // The backend server said that it ran nothing, so the witness forgets the start.
+                // The backend server reported that it ran nothing, so the start doesn't count.
                 if let Some(count) = self.starts.get_mut(&task) {
                     *count -= 1;
                 }
@@ -281,27 +281,26 @@
         self.send_runner_event(node, RunnerEvent::Finished { task, outcome });
     }
 
-    /// A backend server ends its oldest running task with this output.
+    /// The backend server ends its oldest task with this output.
     pub(super) fn finish_with(&mut self, node: usize, output: String) {
         let task = self.nodes[node].running.remove(0);
         let outcome = TaskOutcome::Done { output };
         self.send_runner_event(node, RunnerEvent::Finished { task, outcome });
     }
 
-    /// Drops the records of starts and replies, so that they don't count as the home's memory.
+    /// Clears the recorded starts and replies, so that they don't count as the home's memory.
     pub(super) fn clear_observations(&mut self) {
         self.starts.clear();
         self.replies.clear();
     }
 
-    /// The runner's process is replaced by another one at the same address.
+    /// Replaces the runner's process by another one at the same address.
     pub(super) fn restart_runner(&mut self, node: usize) {
         let slots = self.nodes[node].runner.slots();
         self.nodes[node] = self.start_runner(slots);
     }
 
-    /// The home stops as planned and another process goes on with its records. The old one's
-    /// sessions are gone, but what it had sent may still arrive.
+    /// Hands the home over to a new process. Frames that the old process sent may still arrive.
     pub(super) fn hand_over(&mut self) {
         let (records, actions) = self.home.hand_over(self.now());
         for action in actions {
@@ -332,8 +331,8 @@
         self.send_event(HomeEvent::Tick);
     }
 
-    /// Lets everything arrive and end. What is under way on sessions that the home has lost comes
-    /// last, when all else is over: no later arrival could do more harm.
+    /// Advances to `until_ms` while everything is delivered and finished. Frames on sessions that
+    /// the home disconnected are delivered last, as the latest possible arrival.
     pub(super) fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             for _ in 0..4 {
@@ -347,7 +346,7 @@
             self.advance(50);
         }
         self.deliver_all();
-        // Compares its count with its records.
+        // Checks the count of running jobs against the records (debug assertion).
         let _ = self.home.running_count();
     }
 }
--- a/src/core/home/ticket_registry.rs
+++ b/src/core/home/ticket_registry.rs
@@ -1,4 +1,4 @@
-//! Which tickets have been used, by generation.
+//! The granted tickets and their use, by generation.
 
 use {
     super::records::GenerationRecord,
@@ -15,14 +15,14 @@
     pub(crate) struct JobKey;
 }
 
-/// What the ring says about a ticket.
+/// State of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TicketState {
-    /// This home never granted it.
+    /// The MAC doesn't match: this home never granted it.
     Forged,
     /// Another home granted it.
     Foreign,
-    /// Its generation has been dropped; whether it ran is not known any more.
+    /// Its generation was dropped, so whether it ran is unknown.
     Expired,
     /// Granted and not used.
     Unused,
@@ -33,16 +33,15 @@
 #[derive(Debug)]
 struct Generation {
     granted_at: Instant,
-    /// Past its time: no job may begin, those that run may end.
+    /// Past its lifetime: no job may start, running ones may end.
     closed: bool,
     jobs: BTreeMap<u32, JobKey>,
 }
 
-/// The generations of tickets that are still good.
+/// The generations of tickets that are still valid.
 ///
-/// Guards against a second start when a client resubmits: a ticket is recorded before its first
-/// task starts, and once its generation is dropped no job can begin under it at all, so a ticket
-/// without a record is either unused or refused. Only this home's own clock counts.
+/// A resubmission never starts a job twice: a ticket is recorded before its first task starts, and
+/// no job can start under it once its generation is dropped. Only this home's own clock decides.
 #[derive(Debug)]
 pub(crate) struct TicketRegistry {
     home: AgentId,
@@ -53,7 +52,7 @@
 }
 
 impl TicketRegistry {
-    /// An empty ring.
+    /// An empty registry.
     pub(crate) const fn new(home: AgentId, secret: GrantSecret, ttl_ms: u64) -> Self {
         Self {
             home,
@@ -77,7 +76,7 @@
         self.secret.grant(self.home, generation, count)
     }
 
-    /// The secret behind the granted tickets.
+    /// The secret that authenticates the granted tickets.
     pub(super) const fn secret(&self) -> &GrantSecret {
         &self.secret
     }
@@ -87,7 +86,7 @@
         self.next_generation
     }
 
-    /// The generations that are still good, oldest first.
+    /// The valid generations, oldest first.
     pub(super) fn generations(&self, now: Instant) -> Vec<GenerationRecord> {
         self.generations
             .iter()
@@ -99,8 +98,10 @@
             .collect()
     }
 
-    /// Takes over the generations of another process. One that is older than this process is
-    /// kept for longer, which costs memory and nothing else: its records are kept with it.
+    /// Restores the generations of a handed-over home.
+    ///
+    /// A generation older than this process's clock is retained longer than its lifetime; its
+    /// records are retained with it.
     pub(super) fn restore(
         &mut self,
         now: Instant,
@@ -121,12 +122,12 @@
             .collect();
     }
 
-    /// Whether no ticket is good any more.
+    /// Whether no generation is left.
     pub(super) fn is_empty(&self) -> bool {
         self.generations.is_empty()
     }
 
-    /// What is known of a ticket.
+    /// State of a ticket from a request; verifies its MAC.
     pub(crate) fn state(&self, ticket: &Ticket) -> TicketState {
         if ticket.id.home != self.home {
             return TicketState::Foreign;
@@ -137,7 +138,7 @@
         self.state_of(&ticket.id)
     }
 
-    /// What is known of a ticket whose MAC was verified when it was recorded.
+    /// State of a ticket whose MAC was verified before.
     pub(crate) fn state_of(&self, id: &TicketId) -> TicketState {
         let Some(generation) = self.generations.get(&id.generation) else {
             return TicketState::Expired;
@@ -156,18 +157,17 @@
         }
     }
 
-    /// Forgets that a ticket was used. Once its generation is closed it stays used up.
+    /// Marks a ticket as unused; in a closed generation it becomes expired.
     pub(super) fn release(&mut self, ticket: &TicketId) {
         if let Some(generation) = self.generations.get_mut(&ticket.generation) {
             generation.jobs.remove(&ticket.counter);
         }
     }
 
-    /// Drops the records past their time to live and returns their jobs.
+    /// Drops the records past their lifetime and returns their jobs.
     ///
-    /// Guards against a lost answer when a ticket's time is over in the middle of its job: the
-    /// record of a running job stays until the job has ended, and only the rest of its
-    /// generation is dropped.
+    /// The record of a running job stays until the job has ended, so that its client still gets the
+    /// answer.
     pub(crate) fn drop_expired(
         &mut self,
         now: Instant,
--- a/src/core/home/ticks.rs
+++ b/src/core/home/ticks.rs
@@ -1,4 +1,4 @@
-//! What the home does as time passes.
+//! Timers and periodic checks of the home.
 
 use {
     super::{
@@ -14,9 +14,9 @@
     },
 };
 
-/// When to come back after a deadline passed, in milliseconds.
+/// Retry delay sent with a job whose deadline passed, in milliseconds.
 const DEADLINE_RETRY_AFTER_MS: u64 = 1_000;
-/// Time between ticks from which on this process must have been paused, in milliseconds.
+/// Minimum time between two ticks that counts as a pause of this process, in milliseconds.
 const MIN_PAUSE_MS: u64 = 1_000;
 
 impl Home {
@@ -27,8 +27,8 @@
         self.drop_expired(now);
     }
 
-    /// Guards against blaming runners for this process's own pause: when it wakes, sessions look
-    /// silent for as long as it slept, although nobody tried to reach them. That time is taken off.
+    /// Excludes a pause of this process from the time that runners have been disconnected, since no
+    /// reconnect was attempted during the pause.
     fn exclude_own_pause(&mut self, now: Instant) {
         let paused_ms = self
             .last_tick_at
