--- a/src/core/home/tests/faults.rs
+++ b/src/core/home/tests/faults.rs
@@ -304,7 +304,7 @@
     sim.deliver_to_home(second);
     sim.advance(300);
     sim.deliver_to_runner(second);
-    assert_eq!(sim.starts.values().sum::<u32>(), 1, "started anew");
+    assert_eq!(sim.starts.values().sum::<u32>(), 1, "started again");
     sim.deliver_to_home(second);
     // The other runner sends its welcome and could run a queued task.
     sim.deliver_to_runner(other);
@@ -315,8 +315,8 @@
     assert_eq!(sim.answer(waiter).verdict, Verdict::Done);
 }
 
-/// The query about the first start reaches the runner after the refusal of that start, together with
-/// the second start. Its status must not be applied to the second start.
+/// The query about the first start reaches the runner together with the second start, after the
+/// refusal of the first one. Its status must not be applied to the second start.
 #[test]
 fn a_status_of_an_earlier_start_is_not_applied_to_a_later_one() {
     let mut sim = Simulation::new(2, 1);
--- a/src/core/home/tests/interleavings.rs
+++ b/src/core/home/tests/interleavings.rs
@@ -213,8 +213,8 @@
     })]
 
     /// No interleaving of starts, refusals, disconnects, restarts, late frames, resubmissions,
-    /// cancellations and deadlines may start a task twice that isn't repeatable, or report "not run"
-    /// for a task that ran.
+    /// cancellations and deadlines may start a task twice unless it is repeatable, or report "not
+    /// run" for a task that ran.
     #[test]
     fn random_interleavings_preserve_the_guarantees(steps in prop::collection::vec(step(), 1..160)) {
         let mut sim = Simulation::new(NODES, 2);
