--- a/src/core/home/answer_store.rs
+++ b/src/core/home/answer_store.rs
@@ -1,44 +1,44 @@
-//! Ended jobs' answers, kept up to a byte limit.
+//! Byte limit for the stored answers of ended jobs.
 
 use {
-    super::ticket_ring::JobKey,
+    super::ticket_registry::JobKey,
     crate::core::job::{JobAnswer, TaskOutcome},
     slotmap::SecondaryMap,
     std::collections::VecDeque,
 };
 
-/// Order in which answers are dropped when memory runs short.
+/// Sizes of the stored answers and the order in which they are evicted.
 #[derive(Debug)]
 pub(crate) struct AnswerStore {
     limit_bytes: usize,
-    kept_bytes: usize,
-    /// Oldest first; a job that is not in `bytes` any more has been forgotten.
+    stored_bytes: usize,
+    /// Oldest first; keys missing in `bytes` were removed.
     order: VecDeque<JobKey>,
     bytes: SecondaryMap<JobKey, usize>,
 }
 
 impl AnswerStore {
-    /// A store that keeps up to `limit_bytes` of answers.
+    /// An empty store with this limit.
     pub(crate) fn new(limit_bytes: usize) -> Self {
         Self {
             limit_bytes,
-            kept_bytes: 0,
+            stored_bytes: 0,
             order: VecDeque::new(),
             bytes: SecondaryMap::new(),
         }
     }
 
-    /// Accounts for a new answer and returns the jobs whose answers must go.
-    pub(crate) fn keep(&mut self, key: JobKey, answer: &JobAnswer) -> Vec<JobKey> {
+    /// Accounts for a new answer and returns the jobs whose answers are evicted.
+    pub(crate) fn insert(&mut self, key: JobKey, answer: &JobAnswer) -> Vec<JobKey> {
         let bytes = answer_bytes(answer);
-        self.kept_bytes += bytes;
+        self.stored_bytes += bytes;
         self.order.push_back(key);
         self.bytes.insert(key, bytes);
         let mut dropped = Vec::new();
-        while self.kept_bytes > self.limit_bytes
+        while self.stored_bytes > self.limit_bytes
             && let Some(oldest) = self.order.pop_front()
         {
-            if self.release(oldest) {
+            if self.release_bytes(oldest) {
                 dropped.push(oldest);
             }
         }
@@ -63,9 +63,9 @@
         newest
     }
 
-    /// Frees the share of a job whose record is dropped.
-    pub(crate) fn forget(&mut self, key: JobKey) {
-        self.release(key);
+    /// Releases the bytes of a job whose record is dropped.
+    pub(crate) fn remove(&mut self, key: JobKey) {
+        self.release_bytes(key);
         while self
             .order
             .front()
@@ -75,11 +75,11 @@
         }
     }
 
-    fn release(&mut self, key: JobKey) -> bool {
+    fn release_bytes(&mut self, key: JobKey) -> bool {
         let Some(bytes) = self.bytes.remove(key) else {
             return false;
         };
-        self.kept_bytes -= bytes;
+        self.stored_bytes -= bytes;
         true
     }
 }
--- a/src/core/home/dispatch.rs
+++ b/src/core/home/dispatch.rs
@@ -1,10 +1,10 @@
-//! Which task starts next, and where.
+//! Selection of the next task and its runner.
 
 use {
     super::{
         Home, HomeAction,
         job_record::{JobRecord, JobState, TaskState},
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{
         job::TaskRef,
@@ -15,16 +15,16 @@
     },
 };
 
-/// When to come back after a job was given up in the queue, in milliseconds.
+/// Retry delay sent with a job that was dropped from the queue, in milliseconds.
 const TOO_LATE_RETRY_AFTER_MS: u64 = 500;
-/// Jobs that can't be placed which one event looks at.
-const UNPLACED_JOBS: usize = 8;
+/// Maximum number of unplaceable jobs examined per event.
+const MAX_UNPLACED_JOBS: usize = 8;
 
 impl Home {
     /// Opens sessions to runners that jobs could use or that hold tasks.
     pub(super) fn open_sessions(&mut self, now: Instant) {
         for (runner, link) in &mut self.links {
-            if !link.is_wanted(now) {
+            if !link.is_session_wanted(now) {
                 continue;
             }
             if let Some(epoch) = link.next_epoch(now, &mut self.last_epoch) {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Starts what can be started, and asks for slots for the rest.
+    /// Starts the tasks that can be placed, and updates the demands for the rest.
     pub(super) fn place_tasks(&mut self, now: Instant) {
-        let earlier = self.actions.len();
+        let first_action = self.actions.len();
         self.dispatch(now);
-        let starts = self.actions[earlier..]
+        let starts = self.actions[first_action..]
             .iter()
             .filter(|action| action.is_start())
             .count();
@@ -51,11 +51,11 @@
 
     /// Starts queued tasks, oldest job first, while placement finds runners for them.
     ///
-    /// Only so many jobs that can't be placed are looked at, so that an event costs the same
-    /// however many jobs wait.
+    /// At most [`MAX_UNPLACED_JOBS`] jobs that can't be placed are examined, so the cost of an
+    /// event doesn't depend on the length of the queue.
     pub(super) fn dispatch(&mut self, now: Instant) {
         let mut unplaced = Vec::new();
-        while unplaced.len() < UNPLACED_JOBS
+        while unplaced.len() < MAX_UNPLACED_JOBS
             && let Some(key) = self.waiting.pop_front()
         {
             if self.dispatch_job(now, key) {
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Whether none of a job's tasks has started and there is no time left to run one.
+    /// Whether no task of the job has started and too little time is left to run one.
     ///
-    /// Guards against work for nothing: a job admitted in hope of a shorter wait would hold slots
-    /// until its deadline, and its client gives it up then. It is told so now.
+    /// Such a job would occupy slots until its deadline for a result that the client no longer
+    /// waits for; it fails now instead.
     fn is_too_late(&self, now: Instant, key: JobKey) -> bool {
         self.running_job(key).is_some_and(|job| {
             let left_ms = job.deadline.millis_since(now);
@@ -79,11 +79,11 @@
         })
     }
 
-    /// Starts what it can of one job; true if tasks are left in its queue.
+    /// Starts the tasks of one job that can be placed; true if some stay queued.
     fn dispatch_job(&mut self, now: Instant, key: JobKey) -> bool {
         if self.is_too_late(now, key) {
-            let reasons = (NotRunReason::Overloaded, MayHaveRunReason::DeadlinePassed);
-            self.fail_job(key, reasons.0, reasons.1, TOO_LATE_RETRY_AFTER_MS);
+            let fail_reasons = (NotRunReason::Overloaded, MayHaveRunReason::DeadlinePassed);
+            self.fail_job(key, fail_reasons.0, fail_reasons.1, TOO_LATE_RETRY_AFTER_MS);
             return false;
         }
         let Some(JobRecord {
@@ -126,7 +126,7 @@
             job.tasks[usize::from(index)] = TaskState::Started { runner };
             let attempts = &mut job.attempts[usize::from(index)];
             *attempts = attempts.saturating_add(1);
-            link.note_start(now, task);
+            link.record_start(now, task);
             self.actions.push(HomeAction::Send {
                 runner,
                 epoch: link.epoch,
