--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -25,22 +25,22 @@
 };
 
 /// Longest wait for a change of the list in one call, in milliseconds.
-const WAIT_MS: u64 = 5_000;
+const LONG_POLL_MS: u64 = 5_000;
 /// Answers by which the feed is followed behind; the store's history must reach as far back.
-const FEED_LAG: usize = 2;
+const FEED_LAG_RESPONSES: usize = 2;
 /// Pauses after calls to the store that failed, in milliseconds; the first is doubled up to the last.
-const FIRST_STORE_PAUSE_MS: u64 = 100;
-const LAST_STORE_PAUSE_MS: u64 = 1_000;
+const INITIAL_STORE_BACKOFF_MS: u64 = 100;
+const MAX_STORE_BACKOFF_MS: u64 = 1_000;
 /// Pause between a change of the list and reading it, in milliseconds, at least and at most.
 ///
 /// An entry is three changes, and all entries may start together. Without the pause each change would be two
 /// calls of each agent: at 1,500 agents and 24 changes ten times what the store takes in a second.
-const SETTLE_MS: (u64, u64) = (200, 800);
+const REREAD_DELAY_RANGE_MS: (u64, u64) = (200, 800);
 /// Pauses after an entry could not be reached, in milliseconds; the first is doubled up to the last.
 ///
 /// An entry that starts again is met within the last one; one that is gone for good costs a packet each.
-const FIRST_DIAL_PAUSE_MS: u64 = 50;
-const LAST_DIAL_PAUSE_MS: u64 = 800;
+const INITIAL_DIAL_BACKOFF_MS: u64 = 50;
+const MAX_DIAL_BACKOFF_MS: u64 = 800;
 
 /// Dials entries.
 #[derive(Debug)]
@@ -57,22 +57,22 @@
     /// Follows the list of entries for as long as the process lives.
     pub(super) async fn follow(self: Arc<Self>) {
         let mut dialled: BTreeMap<SocketAddr, watch::Sender<bool>> = BTreeMap::new();
-        let mut backoff = Backoff::new(FIRST_STORE_PAUSE_MS, LAST_STORE_PAUSE_MS);
+        let mut backoff = Backoff::new(INITIAL_STORE_BACKOFF_MS, MAX_STORE_BACKOFF_MS);
         loop {
             match self.read_list().await {
                 Ok((entries, version)) => {
                     backoff.reset();
                     self.dial_new(&entries, &mut dialled);
                     match self.wait_for_change(version).await {
-                        Ok(()) => settle().await,
-                        Err(error) => pause(&error, &mut backoff).await,
+                        Ok(()) => wait_before_reread().await,
+                        Err(error) => back_off(&error, &mut backoff).await,
                     }
                 }
                 Err(error) => {
                     if dialled.is_empty() {
                         self.dial_new(&self.seeds, &mut dialled);
                     }
-                    pause(&error, &mut backoff).await;
+                    back_off(&error, &mut backoff).await;
                 }
             }
         }
@@ -80,25 +80,29 @@
 
     /// Reads the first copy of the list that can be read, beginning with any.
     async fn read_list(&self) -> Result<(Vec<SocketAddr>, u64), StoreError> {
-        let mut copies = EntryListReplica::ALL;
-        let first = rand::random_range(0..copies.len());
-        copies.rotate_left(first);
-        let [first, others @ ..] = copies;
+        let mut replicas = EntryListReplica::ALL;
+        let first = rand::random_range(0..replicas.len());
+        replicas.rotate_left(first);
+        let [first, others @ ..] = replicas;
         let mut read = self.store.read_entries(first).await;
-        for copy in others {
+        for replica in others {
             if read.is_ok() {
                 return read;
             }
-            read = self.store.read_entries(copy).await;
+            read = self.store.read_entries(replica).await;
         }
         read
     }
 
     /// Returns once some copy of the list has changed.
     async fn wait_for_change(&self, read_at: u64) -> Result<(), StoreError> {
-        let mut cursor = FeedCursor::new(read_at, FEED_LAG);
+        let mut cursor = FeedCursor::new(read_at, FEED_LAG_RESPONSES);
         loop {
-            match self.store.wait_for_entries(cursor.after(), WAIT_MS).await? {
+            match self
+                .store
+                .wait_for_entries(cursor.after(), LONG_POLL_MS)
+                .await?
+            {
                 EntryListChange::None { version } => cursor.advance(version),
                 EntryListChange::Some => return Ok(()),
             }
@@ -117,7 +121,7 @@
         for entry in entries {
             dialled.entry(*entry).or_insert_with(|| {
                 let (listed, is_listed) = watch::channel(true);
-                tokio::spawn(Arc::clone(self).keep(*entry, is_listed));
+                tokio::spawn(Arc::clone(self).maintain_session(*entry, is_listed));
                 listed
             });
         }
@@ -128,8 +132,12 @@
     /// An address has one keeper for good. Guards against two sessions with one entry: the list may lose an entry and
     /// have it again while its session lives, and a second hello would tell the entry that nothing of
     /// the first session runs.
-    async fn keep(self: Arc<Self>, entry: SocketAddr, mut is_listed: watch::Receiver<bool>) {
-        let mut backoff = Backoff::new(FIRST_DIAL_PAUSE_MS, LAST_DIAL_PAUSE_MS);
+    async fn maintain_session(
+        self: Arc<Self>,
+        entry: SocketAddr,
+        mut is_listed: watch::Receiver<bool>,
+    ) {
+        let mut backoff = Backoff::new(INITIAL_DIAL_BACKOFF_MS, MAX_DIAL_BACKOFF_MS);
         // The sender is gone only with the process.
         while is_listed.wait_for(|listed| *listed).await.is_ok() {
             match dial_link(entry, Arc::clone(&self.metrics)).await {
@@ -149,33 +157,33 @@
     /// Returns when the session has ended and nothing that was started on it is left.
     async fn run_session(&self, entry: SocketAddr, duplex: super::execution_loop::EntryLink) {
         let session = SessionId(self.last_session.fetch_add(1, Ordering::Relaxed));
-        let (cleared, is_clear) = oneshot::channel();
+        let (drained, session_drained) = oneshot::channel();
         let mut incoming = duplex.incoming;
-        let opened = LoopInput::Opened {
+        let event = LoopInput::SessionOpened {
             session,
             entry: entry.to_string(),
             outgoing: duplex.outgoing,
-            cleared,
+            drained,
         };
         // The loop ends only with the process.
-        let _ = self.inputs.send(opened);
+        let _ = self.inputs.send(event);
         while let Some(frame) = incoming.recv().await {
             let event = ExecutionEvent::Frame { session, frame };
             let _ = self.inputs.send(LoopInput::Event(event));
         }
-        let lost = ExecutionEvent::SessionLost { session };
-        let _ = self.inputs.send(LoopInput::Event(lost));
-        let _ = is_clear.await;
+        let event = ExecutionEvent::SessionLost { session };
+        let _ = self.inputs.send(LoopInput::Event(event));
+        let _ = session_drained.await;
     }
 }
 
 /// Waits until the other entries that come or go at the same moment are on the list, too.
-async fn settle() {
-    let (least, most) = SETTLE_MS;
-    sleep(Duration::from_millis(rand::random_range(least..=most))).await;
+async fn wait_before_reread() {
+    let (min_ms, max_ms) = REREAD_DELAY_RANGE_MS;
+    sleep(Duration::from_millis(rand::random_range(min_ms..=max_ms))).await;
 }
 
-async fn pause(error: &StoreError, backoff: &mut Backoff) {
+async fn back_off(error: &StoreError, backoff: &mut Backoff) {
     log::info!(error:% = error; "the list of entries can't be read");
     backoff.wait().await;
 }
--- a/src/site_agent/execution_loop.rs
+++ b/src/site_agent/execution_loop.rs
@@ -31,18 +31,18 @@
     /// The same from the worker, which waits until it has been acted on.
     Report {
         event: ExecutionEvent,
-        taken: oneshot::Sender<()>,
+        handled: oneshot::Sender<()>,
     },
     /// A session with an entry is open.
-    Opened {
+    SessionOpened {
         session: SessionId,
         entry: String,
         outgoing: mpsc::UnboundedSender<AgentFrame>,
         /// Told once the session has ended and nothing of it is left.
-        cleared: oneshot::Sender<()>,
+        drained: oneshot::Sender<()>,
     },
     /// Runs that are not over.
-    CountRuns { count: oneshot::Sender<usize> },
+    CountRuns { reply: oneshot::Sender<usize> },
 }
 
 /// Owns the executor.
@@ -54,12 +54,12 @@
     pub(super) decisions: Arc<dyn DecisionLog>,
     pub(super) metrics: Arc<dyn Metrics>,
     pub(super) sessions: BTreeMap<SessionId, mpsc::UnboundedSender<AgentFrame>>,
-    pub(super) clearing: BTreeMap<SessionId, oneshot::Sender<()>>,
+    pub(super) drain_notifiers: BTreeMap<SessionId, oneshot::Sender<()>>,
     /// What the worker last said of itself, to be kept for a later process.
-    pub(super) kept_worker: watch::Sender<Option<WorkerView>>,
+    pub(super) worker_view: watch::Sender<Option<WorkerView>>,
     /// Turns true once nothing of an earlier process runs at the worker.
-    pub(super) clean_slate: watch::Sender<bool>,
-    pub(super) inputs_back: mpsc::UnboundedSender<LoopInput>,
+    pub(super) stale_runs_stopped: watch::Sender<bool>,
+    pub(super) input_sender: mpsc::UnboundedSender<LoopInput>,
 }
 
 impl ExecutionLoop {
@@ -69,7 +69,7 @@
         loop {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take_input(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 tick = ticks.recv() => match tick {
@@ -80,26 +80,26 @@
         }
     }
 
-    fn take_input(&mut self, input: LoopInput) {
+    fn handle_input(&mut self, input: LoopInput) {
         match input {
             LoopInput::Event(event) => self.handle(event),
-            LoopInput::Report { event, taken } => {
+            LoopInput::Report { event, handled } => {
                 self.handle(event);
                 // The worker may have given up waiting.
-                let _ = taken.send(());
+                let _ = handled.send(());
             }
-            LoopInput::Opened {
+            LoopInput::SessionOpened {
                 session,
                 entry,
                 outgoing,
-                cleared,
+                drained,
             } => {
                 self.sessions.insert(session, outgoing);
-                self.clearing.insert(session, cleared);
+                self.drain_notifiers.insert(session, drained);
                 self.handle(ExecutionEvent::SessionOpened { session, entry });
             }
-            LoopInput::CountRuns { count } => {
-                let _ = count.send(self.executor.run_count());
+            LoopInput::CountRuns { reply } => {
+                let _ = reply.send(self.executor.run_count());
             }
         }
     }
@@ -107,13 +107,13 @@
     fn handle(&mut self, event: ExecutionEvent) {
         let now = self.timer.now();
         for action in self.executor.handle(now, event) {
-            self.carry_out(action);
+            self.execute(action);
         }
         let runs = u64::try_from(self.executor.run_count()).unwrap_or(u64::MAX);
         self.metrics.set(Gauge::TasksRunning, runs);
     }
 
-    fn carry_out(&mut self, action: ExecutionAction) {
+    fn execute(&mut self, action: ExecutionAction) {
         match action {
             ExecutionAction::Send { session, frame } => {
                 // A session that has ended is told of by its reader.
@@ -126,52 +126,52 @@
             }
             ExecutionAction::SessionDrained { session } => {
                 self.sessions.remove(&session);
-                if let Some(cleared) = self.clearing.remove(&session) {
-                    let _ = cleared.send(());
+                if let Some(drained) = self.drain_notifiers.remove(&session) {
+                    let _ = drained.send(());
                 }
             }
             // Told again with each life of the worker; only the first matters.
             ExecutionAction::StaleRunsStopped => {
-                self.clean_slate.send_replace(true);
+                self.stale_runs_stopped.send_replace(true);
             }
             ExecutionAction::PersistWorker(view) => {
-                self.kept_worker.send_replace(Some(view));
+                self.worker_view.send_replace(Some(view));
             }
             ExecutionAction::Start(call) => {
                 self.metrics.count(Counter::Starts, "ordered");
-                self.call(async |worker| {
+                self.call_worker(async |worker| {
                     let answer = worker.start(&call).await;
                     ExecutionEvent::StartAnswered { call, answer }
                 });
             }
-            ExecutionAction::Stop(call) => self.call(async |worker| {
+            ExecutionAction::Stop(call) => self.call_worker(async |worker| {
                 let confirmed = worker.stop(&call).await;
                 ExecutionEvent::StopAnswered { call, confirmed }
             }),
-            ExecutionAction::Hold(call) => self.call(async |worker| {
+            ExecutionAction::Hold(call) => self.call_worker(async |worker| {
                 let answer = worker.hold(&call).await;
                 ExecutionEvent::HoldAnswered { call, answer }
             }),
-            ExecutionAction::Log(decision) => self.write_down(&decision),
+            ExecutionAction::Log(event) => self.log_event(&event),
         }
     }
 
     /// Calls the worker beside the loop, which takes the answer in as an event.
-    fn call<C, F>(&self, call: C)
+    fn call_worker<C, F>(&self, call: C)
     where
         C: FnOnce(Arc<dyn WorkerClient>) -> F,
         F: Future<Output = ExecutionEvent> + Send + 'static,
     {
-        let inputs = self.inputs_back.clone();
-        let answered = call(Arc::clone(&self.worker));
+        let inputs = self.input_sender.clone();
+        let event = call(Arc::clone(&self.worker));
         tokio::spawn(async move {
             // The loop ends only with the process.
-            let _ = inputs.send(LoopInput::Event(answered.await));
+            let _ = inputs.send(LoopInput::Event(event.await));
         });
     }
 
-    fn write_down(&self, decision: &ExecutionLogEvent) {
-        match decision {
+    fn log_event(&self, event: &ExecutionLogEvent) {
+        match event {
             ExecutionLogEvent::RunNotStarted { reason, .. } => {
                 self.metrics.count(Counter::Refusals, reason);
             }
@@ -190,6 +190,6 @@
             | ExecutionLogEvent::DocumentFetched { .. }
             | ExecutionLogEvent::NewsTaken { .. } => {}
         }
-        log_decision(&*self.decisions, LogPriority::Notable, decision);
+        log_decision(&*self.decisions, LogPriority::Notable, event);
     }
 }
--- a/src/site_agent/mod.rs
+++ b/src/site_agent/mod.rs
@@ -3,7 +3,7 @@
 mod dialler;
 mod execution_loop;
 mod run;
-mod worker_ear;
-mod worker_memory;
+mod worker_report_handler;
+mod worker_view_store;
 
 pub(crate) use run::run_site_agent;
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -4,8 +4,8 @@
     super::{
         dialler::Dialler,
         execution_loop::{ExecutionLoop, LoopInput},
-        worker_ear::WorkerEar,
-        worker_memory::WorkerMemory,
+        worker_report_handler::WorkerReportHandler,
+        worker_view_store::WorkerViewStore,
     },
     crate::{
         adapters::{
@@ -33,9 +33,9 @@
 };
 
 /// Time before the process is killed at which it ends by itself, in milliseconds.
-const LAST_MS: u64 = 400;
+const EXIT_MARGIN_MS: u64 = 400;
 /// Pause between looks at whether all runs are over, in milliseconds.
-const LOOK_MS: u64 = 50;
+const POLL_INTERVAL_MS: u64 = 50;
 /// Time beyond a lease after which nothing runs that an earlier process had started, in milliseconds.
 const LEASE_SLACK_MS: u64 = 60;
 
@@ -49,14 +49,14 @@
     fn execution_loop(
         &self,
         settings: &SiteAgentSettings,
-        kept_worker: watch::Sender<Option<WorkerView>>,
-        clean_slate: watch::Sender<bool>,
+        worker_view: watch::Sender<Option<WorkerView>>,
+        stale_runs_stopped: watch::Sender<bool>,
     ) -> ExecutionLoop {
         let executor = Executor::new(ExecutorSettings {
             agent: settings.site.name.clone(),
             service: settings.service.clone(),
             limits: settings.site.limits,
-            first_token: first_token(),
+            first_token: initial_token(),
         });
         ExecutionLoop {
             executor,
@@ -68,10 +68,10 @@
             decisions: Arc::clone(&self.process.decisions),
             metrics: Arc::clone(&self.process.metrics),
             sessions: BTreeMap::new(),
-            clearing: BTreeMap::new(),
-            kept_worker,
-            clean_slate,
-            inputs_back: self.inputs.clone(),
+            drain_notifiers: BTreeMap::new(),
+            worker_view,
+            stale_runs_stopped,
+            input_sender: self.inputs.clone(),
         }
     }
 
@@ -85,8 +85,8 @@
         })
     }
 
-    fn worker_memory(&self, settings: &SiteAgentSettings) -> WorkerMemory {
-        WorkerMemory {
+    fn worker_view_store(&self, settings: &SiteAgentSettings) -> WorkerViewStore {
+        WorkerViewStore {
             store: Arc::clone(&self.process.store),
             agent: settings.site.name.clone(),
             inputs: self.inputs.clone(),
@@ -94,17 +94,17 @@
     }
 
     /// Serves the worker and whoever reads the metrics, for as long as the process lives.
-    async fn serve_callers(
+    async fn serve_http_endpoints(
         &self,
         settings: &SiteAgentSettings,
         stopped: watch::Receiver<bool>,
     ) -> Result<(), RunError> {
-        let worker = listen(settings.worker_listen).await?;
-        let ear: Arc<dyn HttpHandler> = Arc::new(WorkerEar {
+        let listener = listen(settings.worker_listen).await?;
+        let report_handler: Arc<dyn HttpHandler> = Arc::new(WorkerReportHandler {
             inputs: self.inputs.clone(),
             metrics: Arc::clone(&self.process.metrics),
         });
-        tokio::spawn(serve_http(worker, ear, stopped.clone()));
+        tokio::spawn(serve_http(listener, report_handler, stopped.clone()));
         self.process.serve_metrics(&settings.site, stopped).await
     }
 }
@@ -112,29 +112,29 @@
 /// Runs until the process is told to stop and its runs are over.
 pub(crate) async fn run_site_agent(settings: SiteAgentSettings) -> Result<(), RunError> {
     let site = &settings.site;
-    let (inputs, taken) = mpsc::unbounded_channel();
-    let (clean_slate, is_clean) = watch::channel(false);
+    let (inputs, input_receiver) = mpsc::unbounded_channel();
+    let (stale_runs_stopped, stale_runs_receiver) = watch::channel(false);
     let shared = Shared {
         process: SiteProcess::new(site)?,
         inputs,
     };
-    let (kept_worker, newest_worker) = watch::channel(None);
-    let execution = shared.execution_loop(&settings, kept_worker, clean_slate);
+    let (worker_view, newest_view) = watch::channel(None);
+    let execution = shared.execution_loop(&settings, worker_view, stale_runs_stopped);
     let (_stop, stopped) = watch::channel(false);
-    shared.serve_callers(&settings, stopped).await?;
-    tokio::spawn(execution.run(taken));
-    tokio::spawn(shared.worker_memory(&settings).run(newest_worker));
+    shared.serve_http_endpoints(&settings, stopped).await?;
+    tokio::spawn(execution.run(input_receiver));
+    tokio::spawn(shared.worker_view_store(&settings).run(newest_view));
     tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
-    shared.process.note_started(site);
-    let lapse_ms = site.limits.lapse_ms() + LEASE_SLACK_MS;
-    tokio::spawn(dial_when_clean(
+    shared.process.log_started(site);
+    let lease_expiry_ms = site.limits.lapse_ms() + LEASE_SLACK_MS;
+    tokio::spawn(dial_after_stale_runs(
         shared.dialler(&settings),
-        is_clean,
-        lapse_ms,
+        stale_runs_receiver,
+        lease_expiry_ms,
     ));
 
     stop_signal().await;
-    end(&shared, site.stop_grace_s * 1_000).await;
+    shut_down(&shared, site.stop_grace_s * 1_000).await;
     Ok(())
 }
 
@@ -143,49 +143,53 @@
 /// Guards against two runs of a task: a session's hello says that nothing from before runs
 /// here, but a process that was killed a moment ago may have left runs at the worker. They are
 /// over once the worker's lists under a newer token show none, or else when their lease is.
-async fn dial_when_clean(
+async fn dial_after_stale_runs(
     dialler: Arc<Dialler>,
-    mut is_clean: watch::Receiver<bool>,
-    lapse_ms: u64,
+    mut stale_runs_receiver: watch::Receiver<bool>,
+    lease_expiry_ms: u64,
 ) {
-    let lapse = Duration::from_millis(lapse_ms);
+    let lease_expiry = Duration::from_millis(lease_expiry_ms);
     // Either is enough, and the first session then opens half a second earlier.
-    let _ = timeout(lapse, is_clean.wait_for(|clean| *clean)).await;
+    let _ = timeout(
+        lease_expiry,
+        stale_runs_receiver.wait_for(|stopped| *stopped),
+    )
+    .await;
     dialler.follow().await;
 }
 
 /// A fencing token above those of this agent's earlier processes, as long as the time of day is right.
 ///
 /// Where it isn't, the worker rejects the token and the executor raises it.
-fn first_token() -> u64 {
+fn initial_token() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_secs()
 }
 
 async fn count_runs(inputs: &mpsc::UnboundedSender<LoopInput>) -> usize {
-    let (count, counted) = oneshot::channel();
-    if inputs.send(LoopInput::CountRuns { count }).is_err() {
+    let (reply, run_count) = oneshot::channel();
+    if inputs.send(LoopInput::CountRuns { reply }).is_err() {
         return 0;
     }
-    counted.await.unwrap_or(0)
+    run_count.await.unwrap_or(0)
 }
 
 /// Takes nothing new and waits until what runs is over.
-async fn end(shared: &Shared, grace_ms: u64) {
+async fn shut_down(shared: &Shared, grace_ms: u64) {
     let Shared {
         process, inputs, ..
     } = shared;
-    let last_at = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(LAST_MS));
+    let deadline = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     let open = count_runs(inputs).await;
     process.log_event(&ProcessLogEvent::Stopping { open, grace_ms });
     // The loop ends only with the process.
     let _ = inputs.send(LoopInput::Event(ExecutionEvent::Shutdown));
-    while Instant::now() < last_at && count_runs(inputs).await > 0 {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+    while Instant::now() < deadline && count_runs(inputs).await > 0 {
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
     // Ends that were just told are still on their way out.
-    sleep(Duration::from_millis(LOOK_MS)).await;
+    sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     let open = count_runs(inputs).await;
     process.log_event(&ProcessLogEvent::Stopped { open });
-    sleep(Duration::from_millis(LOOK_MS)).await;
+    sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
 }
--- a/src/site_agent/worker_ear.rs
+++ b/src/site_agent/worker_report_handler.rs
@@ -16,25 +16,25 @@
 
 /// Passes the worker's reports to the executor; what can't be read is counted and left aside.
 #[derive(Debug)]
-pub(super) struct WorkerEar {
+pub(super) struct WorkerReportHandler {
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
     pub(super) metrics: Arc<dyn Metrics>,
 }
 
 #[async_trait]
-impl HttpHandler for WorkerEar {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        let word = match read_worker_word(&call.path, &call.body) {
+impl HttpHandler for WorkerReportHandler {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        let report = match read_worker_word(&request.path, &request.body) {
             None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
                 log::info!(error:% = error; "a worker's report can't be read");
                 return HttpResponse::empty(StatusCode::BAD_REQUEST);
             }
-            Some(Ok(word)) => word,
+            Some(Ok(report)) => report,
         };
         self.metrics.count(Counter::Announcements, "taken");
-        let event = match word {
+        let event = match report {
             WorkerReport::Heartbeat { view, sequence } => {
                 ExecutionEvent::Heartbeat { view, sequence }
             }
@@ -42,9 +42,9 @@
         };
         // The report is acknowledged once the executor has acted on it: a worker that is about to
         // end counts on being given nothing more.
-        let (taken, acted) = tokio::sync::oneshot::channel();
-        let sent = self.inputs.send(LoopInput::Report { event, taken });
-        match (sent, acted.await) {
+        let (handled, acknowledgement) = tokio::sync::oneshot::channel();
+        let sent = self.inputs.send(LoopInput::Report { event, handled });
+        match (sent, acknowledgement.await) {
             (Ok(()), Ok(())) => HttpResponse::json(StatusCode::OK, "{}"),
             _ => HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE),
         }
--- a/src/site_entry/front.rs
+++ b/src/site_entry/client_api.rs
@@ -28,7 +28,7 @@
 
 /// Takes clients' calls and waits for the dispatcher's answers.
 #[derive(Debug)]
-pub(super) struct Front {
+pub(super) struct ClientApi {
     pub(super) state: Arc<EntryState>,
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
     pub(super) metrics: Arc<dyn Metrics>,
@@ -38,15 +38,15 @@
 
 /// Tells the dispatcher that a client's connection is gone, unless the answer came first.
 #[derive(Debug)]
-struct GoneGuard<'a> {
+struct DisconnectGuard<'a> {
     waiter: WaiterId,
     inputs: &'a mpsc::UnboundedSender<LoopInput>,
-    answered: bool,
+    replied: bool,
 }
 
-impl Drop for GoneGuard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.replied {
             let event = DispatchEvent::ClientGone {
                 waiter: self.waiter,
             };
@@ -56,13 +56,13 @@
     }
 }
 
-impl Front {
-    async fn submit(&self, call: &HttpRequest, id: JobId, route: &Route) -> HttpResponse {
-        let request = match PlatformClients::job(call) {
+impl ClientApi {
+    async fn submit(&self, http_request: &HttpRequest, id: JobId, route: &Route) -> HttpResponse {
+        let request = match PlatformClients::job(http_request) {
             Ok(request) => request,
             Err(error) => {
                 log::info!(job:% = id, error:% = error; "a job can't be read");
-                self.turn_away(call, RefusalReason::BadJob.as_str());
+                self.record_rejection(http_request, RefusalReason::BadJob.as_str());
                 return PlatformClients::bad_request();
             }
         };
@@ -70,66 +70,72 @@
             self.metrics.count(Counter::Refusals, feature.as_str());
         }
         let waiter = WaiterId(self.next_waiter.fetch_add(1, Ordering::Relaxed));
-        let (answer, answered) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let submission = Submission {
             waiter,
             id,
             request,
             route: Arc::new(route.clone()),
-            time_left_ms: PlatformClients::time_left_ms(call).unwrap_or(route.timeout_ms),
+            time_left_ms: PlatformClients::time_left_ms(http_request).unwrap_or(route.timeout_ms),
         };
-        let mut guard = GoneGuard {
+        let mut guard = DisconnectGuard {
             waiter,
             inputs: &self.inputs,
-            answered: false,
+            replied: false,
         };
-        let sent = self.inputs.send(LoopInput::Submit { submission, answer });
+        let sent = self.inputs.send(LoopInput::Submit { submission, reply });
         if sent.is_err() {
             log::warn!(job:% = id; "the dispatcher has ended");
             return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
         }
-        match answered.await {
-            Ok(answer) => {
-                guard.answered = true;
-                PlatformClients::answer(answer)
+        match outcome.await {
+            Ok(outcome) => {
+                guard.replied = true;
+                PlatformClients::answer(outcome)
             }
             Err(_) => PlatformClients::answer(JobOutcome::GivenUp(GiveUpReason::Isolated)),
         }
     }
 
     /// Counts and writes down that a call gets no further.
-    fn turn_away(&self, call: &HttpRequest, reason: &'static str) {
+    fn record_rejection(&self, http_request: &HttpRequest, reason: &'static str) {
         self.metrics.count(Counter::Refusals, reason);
-        let refused = ProcessLogEvent::CallRefused {
-            call: format!("{} {}{}", call.method, call.host, call.path),
+        let event = ProcessLogEvent::CallRefused {
+            call: format!(
+                "{} {}{}",
+                http_request.method, http_request.host, http_request.path
+            ),
             reason,
             config_version: self.state.config().map_or(0, |config| config.version),
         };
-        log_decision(&*self.decisions, LogPriority::Routine, &refused);
+        log_decision(&*self.decisions, LogPriority::Routine, &event);
     }
 
     async fn pending(&self, route: &Route) -> HttpResponse {
-        let (count, counted) = oneshot::channel();
+        let (reply, pending_jobs) = oneshot::channel();
         let route = route.name.clone();
-        let sent = self.inputs.send(LoopInput::CountPending { route, count });
-        match (sent, counted.await) {
+        let sent = self.inputs.send(LoopInput::CountPending { route, reply });
+        match (sent, pending_jobs.await) {
             (Ok(()), Ok(jobs)) => PlatformClients::pending(jobs),
             _ => PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS),
         }
     }
 
-    async fn answer_call(&self, call: &HttpRequest) -> HttpResponse {
+    async fn route_request(&self, http_request: &HttpRequest) -> HttpResponse {
         let Some(config) = self.state.config() else {
-            self.turn_away(call, "no_configuration");
+            self.record_rejection(http_request, "no_configuration");
             return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
         };
-        let Some(route) = config.routes.find(&call.host, &call.path) else {
-            self.turn_away(call, "no_route");
+        let Some(route) = config.routes.find(&http_request.host, &http_request.path) else {
+            self.record_rejection(http_request, "no_route");
             return PlatformClients::no_route();
         };
-        let rest = call.path.get(route.path_prefix.len()..).unwrap_or_default();
-        match PlatformClients::action(&call.method, rest) {
-            ClientAction::Submit(id) => self.submit(call, id, route).await,
+        let subpath = http_request
+            .path
+            .get(route.path_prefix.len()..)
+            .unwrap_or_default();
+        match PlatformClients::action(&http_request.method, subpath) {
+            ClientAction::Submit(id) => self.submit(http_request, id, route).await,
             ClientAction::Status(_) | ClientAction::Cancel(_) => PlatformClients::no_job(),
             ClientAction::Pending => self.pending(route).await,
             ClientAction::Unknown => PlatformClients::bad_request(),
@@ -138,14 +144,14 @@
 }
 
 #[async_trait]
-impl HttpHandler for Front {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        let answer = self.answer_call(&call).await;
+impl HttpHandler for ClientApi {
+    async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
+        let response = self.route_request(&http_request).await;
         if self.state.is_leaving() {
             // The client's next call then goes to another entry, over a new connection.
-            return answer.with_header(http::header::CONNECTION, "close");
+            return response.with_header(http::header::CONNECTION, "close");
         }
-        answer
+        response
     }
 
     fn limits(&self) -> HttpLimits {
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -22,7 +22,7 @@
 /// Pause between ticks, in milliseconds: rights and deadlines are kept to within as much.
 const TICK_MS: u64 = 20;
 /// Inputs taken together before tasks are placed.
-const MOST_INPUTS: usize = 64;
+const MAX_EVENTS_PER_BATCH: usize = 64;
 
 /// A session with an agent.
 pub(super) type AgentLink = FrameDuplex<AgentFrame, EntryFrame>;
@@ -33,17 +33,17 @@
     /// A job, and where its answer goes.
     Submit {
         submission: Submission,
-        answer: oneshot::Sender<JobOutcome>,
+        reply: oneshot::Sender<JobOutcome>,
     },
     /// Anything else for the dispatcher.
     Event(DispatchEvent),
     /// A question that the dispatcher's state answers.
     CountPending {
         route: String,
-        count: oneshot::Sender<usize>,
+        reply: oneshot::Sender<usize>,
     },
     /// Jobs that wait for their answer.
-    CountOpen { count: oneshot::Sender<usize> },
+    CountOpenJobs { reply: oneshot::Sender<usize> },
 }
 
 /// Owns the dispatcher.
@@ -52,13 +52,13 @@
     pub(super) dispatcher: Dispatcher,
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) state: Arc<EntryState>,
-    pub(super) news: Arc<OperatorRowsWatcher>,
+    pub(super) rows_watcher: Arc<OperatorRowsWatcher>,
     pub(super) decisions: Arc<dyn DecisionLog>,
     pub(super) metrics: Arc<dyn Metrics>,
     pub(super) waiters: BTreeMap<WaiterId, oneshot::Sender<JobOutcome>>,
     pub(super) links: BTreeMap<LinkId, mpsc::UnboundedSender<EntryFrame>>,
-    pub(super) last_link: u64,
-    pub(super) inputs_back: mpsc::UnboundedSender<LoopInput>,
+    pub(super) last_link_id: u64,
+    pub(super) input_sender: mpsc::UnboundedSender<LoopInput>,
 }
 
 impl DispatchLoop {
@@ -66,18 +66,18 @@
     pub(super) async fn run(
         mut self,
         mut inputs: mpsc::UnboundedReceiver<LoopInput>,
-        mut opened: mpsc::UnboundedReceiver<AgentLink>,
+        mut new_links: mpsc::UnboundedReceiver<AgentLink>,
     ) {
         let mut ticks = self.timer.subscribe(TICK_MS);
         loop {
             let mut events = Vec::new();
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take_input(input, &mut events),
+                    Some(input) => self.handle_input(input, &mut events),
                     None => return,
                 },
-                link = opened.recv() => match link {
-                    Some(link) => self.take_link(link),
+                link = new_links.recv() => match link {
+                    Some(link) => self.add_link(link),
                     None => return,
                 },
                 tick = ticks.recv() => match tick {
@@ -85,22 +85,22 @@
                     None => return,
                 },
             }
-            while events.len() < MOST_INPUTS
+            while events.len() < MAX_EVENTS_PER_BATCH
                 && let Ok(input) = inputs.try_recv()
             {
-                self.take_input(input, &mut events);
+                self.handle_input(input, &mut events);
             }
             let now = self.timer.now();
             let actions = self.dispatcher.handle(now, events);
-            self.carry_out(actions);
+            self.execute(actions);
             self.state.set_has_workers(self.dispatcher.has_workers());
         }
     }
 
-    fn take_input(&mut self, input: LoopInput, events: &mut Vec<DispatchEvent>) {
+    fn handle_input(&mut self, input: LoopInput, events: &mut Vec<DispatchEvent>) {
         match input {
-            LoopInput::Submit { submission, answer } => {
-                self.waiters.insert(submission.waiter, answer);
+            LoopInput::Submit { submission, reply } => {
+                self.waiters.insert(submission.waiter, reply);
                 events.push(DispatchEvent::Submit(submission));
             }
             LoopInput::Event(event) => {
@@ -110,27 +110,27 @@
                 events.push(event);
             }
             // Whoever asked may have gone.
-            LoopInput::CountPending { route, count } => {
-                let _ = count.send(self.dispatcher.pending(&route));
+            LoopInput::CountPending { route, reply } => {
+                let _ = reply.send(self.dispatcher.pending(&route));
             }
-            LoopInput::CountOpen { count } => {
-                let _ = count.send(self.dispatcher.open_jobs());
+            LoopInput::CountOpenJobs { reply } => {
+                let _ = reply.send(self.dispatcher.open_jobs());
             }
         }
     }
 
-    fn take_link(&mut self, duplex: AgentLink) {
-        self.last_link += 1;
-        let link = LinkId(self.last_link);
+    fn add_link(&mut self, duplex: AgentLink) {
+        self.last_link_id += 1;
+        let link = LinkId(self.last_link_id);
         self.links.insert(link, duplex.outgoing);
         tokio::spawn(forward_frames(
             link,
             duplex.incoming,
-            self.inputs_back.clone(),
+            self.input_sender.clone(),
         ));
     }
 
-    fn carry_out(&mut self, actions: Vec<DispatchAction>) {
+    fn execute(&mut self, actions: Vec<DispatchAction>) {
         for action in actions {
             match action {
                 DispatchAction::Send { link, frame } => {
@@ -153,23 +153,25 @@
                         self.metrics.count(Counter::Refusals, reason);
                     }
                     // A client that has gone meanwhile takes no answer.
-                    if let Some(waiting) = self.waiters.remove(&waiter) {
-                        let _ = waiting.send(answer);
+                    if let Some(reply) = self.waiters.remove(&waiter) {
+                        let _ = reply.send(answer);
                     }
                 }
-                DispatchAction::ApplyEvacuatedZones(news) => self.news.take_news(news, "agent"),
+                DispatchAction::ApplyEvacuatedZones(zones) => {
+                    self.rows_watcher.apply_zones(zones, "agent")
+                }
                 DispatchAction::TakeDocument(document) => {
-                    self.news.take_document(document, "agent");
+                    self.rows_watcher.apply_document(document, "agent");
                 }
-                DispatchAction::Log(decision) => self.write_down(&decision),
+                DispatchAction::Log(event) => self.log_event(&event),
             }
         }
         let open = u64::try_from(self.dispatcher.open_jobs()).unwrap_or(u64::MAX);
         self.metrics.set(Gauge::JobsRunning, open);
     }
 
-    fn write_down(&self, decision: &DispatchLogEvent) {
-        let rank = match decision {
+    fn log_event(&self, event: &DispatchLogEvent) {
+        let priority = match event {
             DispatchLogEvent::JobAnswered {
                 answer,
                 took_ms,
@@ -213,7 +215,7 @@
             | DispatchLogEvent::WorkerChanged { .. }
             | DispatchLogEvent::NewsInForce { .. } => LogPriority::Notable,
         };
-        log_decision(&*self.decisions, rank, decision);
+        log_decision(&*self.decisions, priority, event);
     }
 }
 
--- a/src/site_entry/mod.rs
+++ b/src/site_entry/mod.rs
@@ -1,15 +1,15 @@
 //! `rattanslip-entry` on a site: takes clients' jobs and drives the dispatcher.
 
+mod client_api;
 mod dispatch_loop;
-mod front;
-mod listing;
+mod entry_registration;
 mod operator_rows_watcher;
 mod process_log_event;
-mod ready_probe;
 mod run;
 mod site_process;
 mod state;
-mod store_watch;
+mod status_handlers;
+mod store_health;
 
 #[cfg(test)]
 mod tests;
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         dispatch_loop::LoopInput, process_log_event::ProcessLogEvent, state::EntryState,
-        store_watch::StoreWatch,
+        store_health::StoreHealth,
     },
     crate::{
         adapters::timer::Backoff,
@@ -28,18 +28,18 @@
 ///
 /// A connection that has gone silent is found half a second after it; a change must be in
 /// force two seconds after it was made.
-const WAIT_MS: u64 = 1_000;
+const LONG_POLL_MS: u64 = 1_000;
 /// Answers by which the feed is followed behind; the store's history must reach as far back.
-const FEED_LAG: usize = 5;
+const FEED_LAG_RESPONSES: usize = 5;
 /// Pauses before all is read anew because the feed failed or has lost its history, in milliseconds; the first is
 /// doubled up to the last.
-const FIRST_REREAD_PAUSE_MS: u64 = 100;
-const LAST_REREAD_PAUSE_MS: u64 = 1_000;
+const INITIAL_REREAD_BACKOFF_MS: u64 = 100;
+const MAX_REREAD_BACKOFF_MS: u64 = 1_000;
 
 /// What is known of the operators' rows.
 #[derive(Debug, Default)]
 pub(super) struct KnownRows {
-    news: Option<EvacuatedZones>,
+    zones: Option<EvacuatedZones>,
     /// Revision of the newest document; zero without one.
     revision: u64,
 }
@@ -58,29 +58,33 @@
 impl OperatorRowsWatcher {
     /// Follows the operators' rows for as long as the process lives.
     pub(super) async fn follow(self: Arc<Self>) {
-        let mut watch = StoreWatch::new("news", &self.decisions, &self.metrics);
-        let mut pause = Backoff::new(FIRST_REREAD_PAUSE_MS, LAST_REREAD_PAUSE_MS);
+        let mut health = StoreHealth::new("news", &self.decisions, &self.metrics);
+        let mut backoff = Backoff::new(INITIAL_REREAD_BACKOFF_MS, MAX_REREAD_BACKOFF_MS);
         loop {
-            let begun_at = Instant::now();
+            let started_at = Instant::now();
             match self.store.read_operator_rows().await {
                 Ok(rows) => {
-                    watch.regained();
-                    self.note_read(&rows, begun_at);
+                    health.record_success();
+                    self.log_read(&rows, started_at);
                     let version = rows.zones.version;
-                    self.take_rows(rows);
-                    self.follow_changes(version, &mut watch, &mut pause).await;
-                    pause.wait().await;
+                    self.apply_rows(rows);
+                    self.follow_changes(version, &mut health, &mut backoff)
+                        .await;
+                    backoff.wait().await;
                 }
-                Err(error) => watch.lost(&error).await,
+                Err(error) => health.record_failure(&error).await,
             }
         }
     }
 
     /// Returns when the rows are to be read anew: feeds may fail while reads are answered.
-    async fn follow_changes(&self, read_at: u64, watch: &mut StoreWatch, pause: &mut Backoff) {
-        let mut cursor = FeedCursor::new(read_at, FEED_LAG);
+    async fn follow_changes(&self, read_at: u64, health: &mut StoreHealth, backoff: &mut Backoff) {
+        let mut cursor = FeedCursor::new(read_at, FEED_LAG_RESPONSES);
         loop {
-            let change = self.store.wait_for_operators(cursor.after(), WAIT_MS).await;
+            let change = self
+                .store
+                .wait_for_operators(cursor.after(), LONG_POLL_MS)
+                .await;
             match change {
                 Ok(OperatorChange::None { version }) => cursor.advance(version),
                 Ok(OperatorChange::Rows {
@@ -88,20 +92,20 @@
                     zones,
                     document,
                 }) => {
-                    self.take_changes(version, zones, document);
-                    cursor = FeedCursor::new(version, FEED_LAG);
+                    self.apply_changes(version, zones, document);
+                    cursor = FeedCursor::new(version, FEED_LAG_RESPONSES);
                 }
                 Ok(OperatorChange::Forgotten) => {
-                    watch.regained();
+                    health.record_success();
                     return;
                 }
                 Err(error) => {
-                    watch.lost(&error).await;
+                    health.record_failure(&error).await;
                     return;
                 }
             }
-            watch.regained();
-            pause.reset();
+            health.record_success();
+            backoff.reset();
         }
     }
 
@@ -109,72 +113,72 @@
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take_rows(&self, rows: OperatorRows) {
+    fn apply_rows(&self, rows: OperatorRows) {
         if let Some(document) = rows.document {
-            self.take_document(document, "store");
+            self.apply_document(document, "store");
         }
-        self.take_news(rows.zones, "store");
+        self.apply_zones(rows.zones, "store");
     }
 
-    fn take_changes(
+    fn apply_changes(
         &self,
         version: u64,
         zones: BTreeMap<String, bool>,
         document: Option<Document>,
     ) {
         if let Some(document) = document {
-            self.count_read(&document);
-            self.take_document(document, "store");
+            self.count_bytes_read(&document);
+            self.apply_document(document, "store");
         }
         let mut known = self.known();
         let mut evacuated = known
-            .news
+            .zones
             .clone()
-            .map_or_else(Default::default, |news| news.evacuated);
-        for (zone, is_out) in zones {
-            if is_out {
+            .map_or_else(Default::default, |zones| zones.evacuated);
+        for (zone, is_evacuated) in zones {
+            if is_evacuated {
                 evacuated.insert(zone);
             } else {
                 evacuated.remove(&zone);
             }
         }
-        self.replace_news(&mut known, EvacuatedZones { version, evacuated }, "store");
+        self.replace_zones(&mut known, EvacuatedZones { version, evacuated }, "store");
     }
 
     /// Goes by news unless newer ones are known.
-    pub(super) fn take_news(&self, news: EvacuatedZones, source: &'static str) {
-        self.replace_news(&mut self.known(), news, source);
+    pub(super) fn apply_zones(&self, zones: EvacuatedZones, source: &'static str) {
+        self.replace_zones(&mut self.known(), zones, source);
     }
 
-    fn replace_news(&self, known: &mut KnownRows, news: EvacuatedZones, source: &'static str) {
-        if !news.is_newer_than(known.news.as_ref()) {
-            let known_version = known.news.as_ref().map_or(0, |known| known.version);
-            self.note_left_aside("news", news.version, known_version, source);
+    fn replace_zones(&self, known: &mut KnownRows, zones: EvacuatedZones, source: &'static str) {
+        if !zones.is_newer_than(known.zones.as_ref()) {
+            let known_version = known.zones.as_ref().map_or(0, |known| known.version);
+            self.log_ignored("news", zones.version, known_version, source);
             return;
         }
         // The loop ends only with the process.
         let _ = self
             .inputs
             .send(LoopInput::Event(DispatchEvent::EvacuatedZones(
-                news.clone(),
+                zones.clone(),
             )));
-        known.news = Some(news);
+        known.zones = Some(zones);
     }
 
     /// Goes by a document unless a newer one is known or it can't be read.
-    pub(super) fn take_document(&self, document: Document, source: &'static str) {
+    pub(super) fn apply_document(&self, document: Document, source: &'static str) {
         let mut known = self.known();
         if document.revision <= known.revision {
-            self.note_left_aside("document", document.revision, known.revision, source);
+            self.log_ignored("document", document.revision, known.revision, source);
             return;
         }
         known.revision = document.revision;
         match read_config(&document) {
-            Ok(config) => self.put_in_force(config, document.revision, source),
+            Ok(config) => self.apply_config(config, document.revision, source),
             Err(error) => {
                 let cause = error.to_string();
-                let unreadable = ProcessLogEvent::ConfigUnreadable { cause };
-                log_decision(&*self.decisions, LogPriority::Notable, &unreadable);
+                let event = ProcessLogEvent::ConfigUnreadable { cause };
+                log_decision(&*self.decisions, LogPriority::Notable, &event);
             }
         }
         // The loop ends only with the process.
@@ -183,17 +187,17 @@
             .send(LoopInput::Event(DispatchEvent::Document(document)));
     }
 
-    fn put_in_force(&self, config: SiteConfig, revision: u64, source: &'static str) {
+    fn apply_config(&self, config: SiteConfig, revision: u64, source: &'static str) {
         // The document's own version never goes back in one process, whatever the store says.
         if let Some(newer) = self
             .state
             .config()
             .filter(|known| known.version > config.version)
         {
-            self.note_left_aside("config", config.version, newer.version, source);
+            self.log_ignored("config", config.version, newer.version, source);
             return;
         }
-        let in_force = ProcessLogEvent::ConfigInForce {
+        let event = ProcessLogEvent::ConfigInForce {
             version: config.version,
             revision,
             routes: config.routes.len(),
@@ -201,30 +205,30 @@
             source,
         };
         self.state.set_config(config);
-        log_decision(&*self.decisions, LogPriority::Notable, &in_force);
+        log_decision(&*self.decisions, LogPriority::Notable, &event);
     }
 
-    fn count_read(&self, document: &Document) {
+    fn count_bytes_read(&self, document: &Document) {
         let bytes = u64::try_from(document.text.len()).unwrap_or(u64::MAX);
         self.metrics.add(Counter::DocumentBytes, "read", bytes);
     }
 
-    fn note_read(&self, rows: &OperatorRows, begun_at: Instant) {
+    fn log_read(&self, rows: &OperatorRows, started_at: Instant) {
         if let Some(document) = &rows.document {
-            self.count_read(document);
+            self.count_bytes_read(document);
         }
         let document = rows.document.as_ref();
-        let read = ProcessLogEvent::NewsRead {
+        let event = ProcessLogEvent::NewsRead {
             store_version: rows.zones.version,
             revision: document.map_or(0, |document| document.revision),
-            took_ms: u64::try_from(begun_at.elapsed().as_millis()).unwrap_or(u64::MAX),
+            took_ms: u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             document_bytes: document.map_or(0, |document| document.text.len()),
         };
-        log_decision(&*self.decisions, LogPriority::Notable, &read);
+        log_decision(&*self.decisions, LogPriority::Notable, &event);
     }
 
     /// Notes what is older than what is known; the same again is the usual course.
-    fn note_left_aside(
+    fn log_ignored(
         &self,
         what: &'static str,
         version: u64,
@@ -234,12 +238,12 @@
         if version == known_version {
             return;
         }
-        let left_aside = ProcessLogEvent::NewsLeftAside {
+        let event = ProcessLogEvent::NewsLeftAside {
             what,
             version,
             known_version,
             source,
         };
-        log_decision(&*self.decisions, LogPriority::Notable, &left_aside);
+        log_decision(&*self.decisions, LogPriority::Notable, &event);
     }
 }
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
+        client_api::ClientApi,
         dispatch_loop::{DispatchLoop, LoopInput},
-        front::Front,
-        listing::Listing,
+        entry_registration::EntryRegistration,
         operator_rows_watcher::OperatorRowsWatcher,
         process_log_event::ProcessLogEvent,
-        ready_probe::ReadyProbe,
         site_process::SiteProcess,
         state::EntryState,
+        status_handlers::ReadinessHandler,
     },
     crate::{
         adapters::{
@@ -39,11 +39,11 @@
 
 /// Time for the balancer to send new connections elsewhere, in milliseconds: two probes, a second
 /// apart, and one more second.
-const BALANCER_MS: u64 = 3_000;
+const BALANCER_DRAIN_MS: u64 = 3_000;
 /// Time before the process is killed at which it ends by itself, in milliseconds.
-const LAST_MS: u64 = 400;
+const EXIT_MARGIN_MS: u64 = 400;
 /// Pause between looks at whether all jobs have ended, in milliseconds.
-const LOOK_MS: u64 = 50;
+const POLL_INTERVAL_MS: u64 = 50;
 
 /// What the parts of an entry share.
 struct Shared {
@@ -64,8 +64,8 @@
         })
     }
 
-    fn listing(&self, entry: SocketAddr) -> Arc<Listing> {
-        Arc::new(Listing {
+    fn entry_registration(&self, entry: SocketAddr) -> Arc<EntryRegistration> {
+        Arc::new(EntryRegistration {
             store: Arc::clone(&self.process.store),
             decisions: Arc::clone(&self.process.decisions),
             metrics: Arc::clone(&self.process.metrics),
@@ -74,7 +74,11 @@
         })
     }
 
-    fn dispatch_loop(&self, limits: RunLimits, news: Arc<OperatorRowsWatcher>) -> DispatchLoop {
+    fn dispatch_loop(
+        &self,
+        limits: RunLimits,
+        rows_watcher: Arc<OperatorRowsWatcher>,
+    ) -> DispatchLoop {
         DispatchLoop {
             dispatcher: Dispatcher::new(DispatchSettings {
                 limits,
@@ -82,18 +86,18 @@
             }),
             timer: Arc::new(BootTimer),
             state: Arc::clone(&self.state),
-            news,
+            rows_watcher,
             decisions: Arc::clone(&self.process.decisions),
             metrics: Arc::clone(&self.process.metrics),
             waiters: BTreeMap::new(),
             links: BTreeMap::new(),
-            last_link: 0,
-            inputs_back: self.inputs.clone(),
+            last_link_id: 0,
+            input_sender: self.inputs.clone(),
         }
     }
 
-    fn front(&self) -> Arc<dyn HttpHandler> {
-        Arc::new(Front {
+    fn client_api(&self) -> Arc<dyn HttpHandler> {
+        Arc::new(ClientApi {
             state: Arc::clone(&self.state),
             inputs: self.inputs.clone(),
             metrics: Arc::clone(&self.process.metrics),
@@ -102,114 +106,123 @@
         })
     }
 
-    fn ready_probe(&self) -> Arc<dyn HttpHandler> {
-        Arc::new(ReadyProbe {
+    fn readiness_handler(&self) -> Arc<dyn HttpHandler> {
+        Arc::new(ReadinessHandler {
             state: Arc::clone(&self.state),
         })
     }
 }
 
 /// Serves clients, the balancer and whoever reads the metrics, until `stopped` turns true.
-async fn serve_callers(
+async fn serve_http_endpoints(
     settings: &SiteEntrySettings,
     shared: &Shared,
     stopped: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
-    let clients = listen(settings.client_listen).await?;
-    let balancer = listen(settings.ready_listen).await?;
-    tokio::spawn(serve_http(clients, shared.front(), stopped.clone()));
-    tokio::spawn(serve_http(balancer, shared.ready_probe(), stopped.clone()));
+    let client_listener = listen(settings.client_listen).await?;
+    let balancer_listener = listen(settings.ready_listen).await?;
+    tokio::spawn(serve_http(
+        client_listener,
+        shared.client_api(),
+        stopped.clone(),
+    ));
+    tokio::spawn(serve_http(
+        balancer_listener,
+        shared.readiness_handler(),
+        stopped.clone(),
+    ));
     shared.process.serve_metrics(&settings.site, stopped).await
 }
 
 /// Runs until the process is told to stop and its jobs have ended.
 pub(crate) async fn run_site_entry(settings: SiteEntrySettings) -> Result<(), RunError> {
-    let (inputs, taken) = mpsc::unbounded_channel();
-    let (opened, links) = mpsc::unbounded_channel();
+    let (inputs, input_receiver) = mpsc::unbounded_channel();
+    let (link_sender, links) = mpsc::unbounded_channel();
     let shared = Shared {
         process: SiteProcess::new(&settings.site)?,
         state: Arc::new(EntryState::default()),
         inputs,
     };
-    let news = shared.operator_rows_watcher();
-    let listing = shared.listing(settings.link_addr);
-    let dispatch = shared.dispatch_loop(settings.site.limits, Arc::clone(&news));
-    let agents = listen(settings.link_listen).await?;
+    let rows_watcher = shared.operator_rows_watcher();
+    let entry_registration = shared.entry_registration(settings.link_addr);
+    let dispatch = shared.dispatch_loop(settings.site.limits, Arc::clone(&rows_watcher));
+    let agent_listener = listen(settings.link_listen).await?;
     let (stop, stopped) = watch::channel(false);
-    serve_callers(&settings, &shared, stopped).await?;
-    tokio::spawn(dispatch.run(taken, links));
+    serve_http_endpoints(&settings, &shared, stopped).await?;
+    tokio::spawn(dispatch.run(input_receiver, links));
     tokio::spawn(serve_links(
-        agents,
-        opened,
+        agent_listener,
+        link_sender,
         Arc::clone(&shared.process.metrics),
     ));
-    tokio::spawn(news.follow());
-    for copy in EntryListReplica::ALL {
-        tokio::spawn(Arc::clone(&listing).join(copy));
+    tokio::spawn(rows_watcher.follow());
+    for replica in EntryListReplica::ALL {
+        tokio::spawn(Arc::clone(&entry_registration).register(replica));
     }
     tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
-    shared.process.note_started(&settings.site);
+    shared.process.log_started(&settings.site);
 
     stop_signal().await;
-    let leaving = tokio::spawn(listing.leave());
-    let ending = Ending {
+    let deregistration = tokio::spawn(entry_registration.deregister());
+    let shutdown = GracefulShutdown {
         grace_ms: settings.site.stop_grace_s * 1_000,
         shared,
         stop,
     };
-    ending.run().await;
-    leaving.abort();
+    shutdown.run().await;
+    deregistration.abort();
     Ok(())
 }
 
 /// A planned stop.
-struct Ending {
+struct GracefulShutdown {
     grace_ms: u64,
     shared: Shared,
     stop: watch::Sender<bool>,
 }
 
-impl Ending {
+impl GracefulShutdown {
     async fn open_jobs(&self) -> usize {
-        let (count, counted) = oneshot::channel();
+        let (reply, open_jobs) = oneshot::channel();
         if self
             .shared
             .inputs
-            .send(LoopInput::CountOpen { count })
+            .send(LoopInput::CountOpenJobs { reply })
             .is_err()
         {
             return 0;
         }
-        counted.await.unwrap_or(0)
+        open_jobs.await.unwrap_or(0)
     }
 
     /// Serves on until the balancer sends clients elsewhere and all jobs have their answers.
     async fn run(self) {
-        let begun_at = Instant::now();
+        let started_at = Instant::now();
         let open = self.open_jobs().await;
         self.shared.process.log_event(&ProcessLogEvent::Stopping {
             open,
             grace_ms: self.grace_ms,
         });
-        self.shared.state.leave();
+        self.shared.state.set_leaving();
         // The loop ends only with the process.
         let _ = self
             .shared
             .inputs
             .send(LoopInput::Event(DispatchEvent::Shutdown));
-        let last_at = begun_at + Duration::from_millis(self.grace_ms.saturating_sub(LAST_MS));
-        let balanced_at = begun_at + Duration::from_millis(BALANCER_MS);
-        sleep_until(balanced_at.min(last_at)).await;
+        let deadline =
+            started_at + Duration::from_millis(self.grace_ms.saturating_sub(EXIT_MARGIN_MS));
+        let drained_at = started_at + Duration::from_millis(BALANCER_DRAIN_MS);
+        sleep_until(drained_at.min(deadline)).await;
         let _ = self.stop.send(true);
-        while Instant::now() < last_at && self.open_jobs().await > 0 {
-            sleep(Duration::from_millis(LOOK_MS)).await;
+        while Instant::now() < deadline && self.open_jobs().await > 0 {
+            sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
         // Answers that were just given are still on their way out.
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         let open = self.open_jobs().await;
         self.shared
             .process
             .log_event(&ProcessLogEvent::Stopped { open });
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
 }
--- a/src/site_entry/site_process.rs
+++ b/src/site_entry/site_process.rs
@@ -1,7 +1,7 @@
 //! What entries and agents on a site have in common.
 
 use {
-    super::{process_log_event::ProcessLogEvent, ready_probe::ServiceProbe},
+    super::{process_log_event::ProcessLogEvent, status_handlers::MetricsHandler},
     crate::{
         adapters::{
             http::{HttpHandler, serve_http},
@@ -46,21 +46,21 @@
         site: &SiteSettings,
         stopped: watch::Receiver<bool>,
     ) -> Result<(), RunError> {
-        let readers = listen(site.metrics_listen).await?;
-        let probe: Arc<dyn HttpHandler> = Arc::new(ServiceProbe {
+        let listener = listen(site.metrics_listen).await?;
+        let handler: Arc<dyn HttpHandler> = Arc::new(MetricsHandler {
             metrics: Arc::clone(&self.metrics),
         });
-        tokio::spawn(serve_http(readers, probe, stopped));
+        tokio::spawn(serve_http(listener, handler, stopped));
         Ok(())
     }
 
     /// Writes a change of the process itself down.
-    pub(crate) fn log_event(&self, change: &ProcessLogEvent) {
-        log_decision(&*self.decisions, LogPriority::Notable, change);
+    pub(crate) fn log_event(&self, event: &ProcessLogEvent) {
+        log_decision(&*self.decisions, LogPriority::Notable, event);
     }
 
     /// Writes down that the process has begun.
-    pub(crate) fn note_started(&self, site: &SiteSettings) {
+    pub(crate) fn log_started(&self, site: &SiteSettings) {
         self.log_event(&ProcessLogEvent::Started {
             version: env!("CARGO_PKG_VERSION"),
             availability_zone: site.availability_zone.clone(),
--- a/src/site_entry/state.rs
+++ b/src/site_entry/state.rs
@@ -27,8 +27,8 @@
 
     /// Puts a configuration in force.
     pub(super) fn set_config(&self, config: SiteConfig) {
-        let mut known = self.config.write().unwrap_or_else(PoisonError::into_inner);
-        *known = Some(Arc::new(config));
+        let mut current = self.config.write().unwrap_or_else(PoisonError::into_inner);
+        *current = Some(Arc::new(config));
     }
 
     /// Notes whether some worker can take tasks.
@@ -37,7 +37,7 @@
     }
 
     /// Notes that the process is to end.
-    pub(super) fn leave(&self) {
+    pub(super) fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
--- a/src/site_entry/ready_probe.rs
+++ b/src/site_entry/status_handlers.rs
@@ -16,12 +16,12 @@
 
 /// Tells the balancer whether this entry is ready.
 #[derive(Debug)]
-pub(super) struct ReadyProbe {
+pub(super) struct ReadinessHandler {
     pub(super) state: Arc<EntryState>,
 }
 
 #[async_trait]
-impl HttpHandler for ReadyProbe {
+impl HttpHandler for ReadinessHandler {
     async fn handle(&self, _: HttpRequest) -> HttpResponse {
         if self.state.is_ready() {
             HttpResponse::empty(StatusCode::OK)
@@ -33,15 +33,15 @@
 
 /// Shows a process's metrics.
 #[derive(Debug)]
-pub(crate) struct ServiceProbe {
+pub(crate) struct MetricsHandler {
     /// The metrics.
     pub(crate) metrics: Arc<dyn Metrics>,
 }
 
 #[async_trait]
-impl HttpHandler for ServiceProbe {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        if call.path == METRICS_PATH {
+impl HttpHandler for MetricsHandler {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        if request.path == METRICS_PATH {
             HttpResponse::text(StatusCode::OK, self.metrics.render())
         } else {
             HttpResponse::empty(StatusCode::NOT_FOUND)
--- a/src/site_entry/tests/config_changes.rs
+++ b/src/site_entry/tests/config_changes.rs
@@ -2,23 +2,29 @@
 //! time, and none goes back.
 
 use {
-    super::site::{SiteEvent, SiteModel, SitePlan, StoreFault},
+    super::site::{SiteEvent, SitePlan, SiteSimulation, StoreFault},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
 };
 
-const NARROW: u64 = 25;
-const WIDE: u64 = 200;
+const NARROW_LINK_MBIT_PER_S: u64 = 25;
+const WIDE_LINK_MBIT_PER_S: u64 = 200;
 /// Lengths of documents of a few and of some thousand routes.
-const SMALL: usize = 10_000;
-const LARGE: usize = 830_000;
-const SEEDS: u64 = 12;
+const SMALL_DOCUMENT_BYTES: usize = 10_000;
+const LARGE_DOCUMENT_BYTES: usize = 830_000;
+const SEED_COUNT: u64 = 12;
 /// Most calls that an entry makes to the store in a second, on the average of a day.
-const MOST_CALLS_PER_S: u64 = 10;
+const MAX_STORE_CALLS_PER_S: u64 = 10;
 
-fn site(events: Vec<(u64, SiteEvent)>) -> SitePlan {
+fn site_plan(events: Vec<(u64, SiteEvent)>) -> SitePlan {
     SitePlan {
-        entry_links: vec![WIDE, NARROW, WIDE, NARROW, NARROW],
+        entry_links: vec![
+            WIDE_LINK_MBIT_PER_S,
+            NARROW_LINK_MBIT_PER_S,
+            WIDE_LINK_MBIT_PER_S,
+            NARROW_LINK_MBIT_PER_S,
+            NARROW_LINK_MBIT_PER_S,
+        ],
         agents: 6,
         events,
         end_ms: 24_000,
@@ -26,7 +32,7 @@
 }
 
 /// Changes of documents that grow up to this length.
-fn growing(bytes: usize) -> Vec<(u64, SiteEvent)> {
+fn growing_documents(bytes: usize) -> Vec<(u64, SiteEvent)> {
     let sizes = [
         (5_000, bytes / 2),
         (9_000, bytes),
@@ -39,10 +45,10 @@
         .collect()
 }
 
-async fn broken(plan: SitePlan) -> Vec<String> {
-    let mut site = SiteModel::start(plan);
-    site.play().await;
-    site.broken
+async fn violations_of(plan: SitePlan) -> Vec<String> {
+    let mut site = SiteSimulation::start(plan);
+    site.run().await;
+    site.violations
 }
 
 macro_rules! change_cases {
@@ -51,105 +57,105 @@
             $(#[$doc])*
             #[tokio::test(start_paused = true)]
             async fn $name() {
-                for bytes in [SMALL, LARGE] {
-                    let mut events = growing(bytes);
+                for bytes in [SMALL_DOCUMENT_BYTES, LARGE_DOCUMENT_BYTES] {
+                    let mut events = growing_documents(bytes);
                     events.extend(Vec::<(u64, SiteEvent)>::from($events));
-                    assert_eq!(broken(site(events)).await, Vec::<String>::new(), "{bytes} bytes");
+                    assert_eq!(violations_of(site_plan(events)).await, Vec::<String>::new(), "{bytes} bytes");
                 }
             }
         )+
     };
 }
 
-const fn store(fault: StoreFault, for_ms: u64) -> SiteEvent {
+const fn store_fault(fault: StoreFault, for_ms: u64) -> SiteEvent {
     SiteEvent::Store { fault, for_ms }
 }
 
 change_cases! {
     /// Guards against copies of a large document that fill an entry's link, so that it does not read the next change.
-    a_large_document_is_in_force_in_time_at_entries_with_narrow_links: [];
+    a_large_document_is_applied_in_time_at_entries_with_narrow_links: [];
     /// Guards against an entry that goes on waiting on a feed that fails, although the rows can be read.
-    a_change_is_in_force_in_time_after_feeds_were_cut: [(8_500, store(StoreFault::CutsFeeds, 3_000))];
+    a_change_is_applied_in_time_after_feeds_failed: [(8_500, store_fault(StoreFault::FeedsFail, 3_000))];
     /// Guards against a change that feeds leave out.
-    a_change_is_in_force_in_time_after_feeds_missed_it: [(8_500, store(StoreFault::FeedsMissChanges, 1_000))];
+    a_change_is_applied_in_time_after_feeds_missed_it: [(8_500, store_fault(StoreFault::FeedsMissChanges, 1_000))];
     /// Guards against a change that nothing follows and that is never asked for again.
-    the_last_change_is_in_force_in_time_after_feeds_missed_it: [(13_500, store(StoreFault::FeedsMissChanges, 2_500))];
+    the_last_change_is_applied_in_time_after_feeds_missed_it: [(13_500, store_fault(StoreFault::FeedsMissChanges, 2_500))];
     /// Guards against an entry that reads nothing while feeds fail for long.
-    the_last_change_is_in_force_in_time_after_feeds_were_cut: [(14_500, store(StoreFault::CutsFeeds, 3_000))];
+    the_last_change_is_applied_in_time_after_feeds_failed: [(14_500, store_fault(StoreFault::FeedsFail, 3_000))];
     /// Guards against an older state that is kept once reads are no longer stale.
-    the_last_change_is_in_force_in_time_after_stale_reads:
-        [(14_500, store(StoreFault::StaleReads(5_500), 4_000)), (15_100, SiteEvent::ForgetHistory)];
+    the_last_change_is_applied_in_time_after_stale_reads:
+        [(14_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (15_100, SiteEvent::ForgetHistory)];
     /// Guards against an entry that takes an older state for the newest one.
-    a_change_is_in_force_in_time_after_stale_reads:
-        [(8_500, store(StoreFault::StaleReads(5_500), 4_000)), (9_100, SiteEvent::ForgetHistory)];
-    a_change_is_in_force_in_time_after_history_is_gone: [(9_010, SiteEvent::ForgetHistory)];
-    a_change_is_in_force_in_time_after_a_slow_store: [(8_500, store(StoreFault::Slow(60), 4_500))];
-    a_change_is_in_force_in_time_after_a_silent_store: [(8_500, store(StoreFault::Silent, 4_500))];
-    a_change_is_in_force_in_time_after_a_store_that_refuses: [(8_500, store(StoreFault::Refusing, 4_500))];
-    a_change_is_in_force_in_time_after_lost_answers: [(8_500, store(StoreFault::LosesAnswers(3), 4_500))];
+    a_change_is_applied_in_time_after_stale_reads:
+        [(8_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (9_100, SiteEvent::ForgetHistory)];
+    a_change_is_applied_in_time_after_history_is_discarded: [(9_010, SiteEvent::ForgetHistory)];
+    a_change_is_applied_in_time_after_a_slow_store: [(8_500, store_fault(StoreFault::Slow(60), 4_500))];
+    a_change_is_applied_in_time_after_an_unresponsive_store: [(8_500, store_fault(StoreFault::Unresponsive, 4_500))];
+    a_change_is_applied_in_time_after_the_store_refused_calls: [(8_500, store_fault(StoreFault::RefusesAll, 4_500))];
+    a_change_is_applied_in_time_after_lost_responses: [(8_500, store_fault(StoreFault::DropsResponses(3), 4_500))];
     /// Guards against entries that learn of a change only from a store that turns them away.
-    a_change_is_in_force_in_time_at_entries_that_the_store_refuses:
-        [(4_500, store(StoreFault::Refuses(3, 1), 15_000))];
+    a_change_is_applied_in_time_at_entries_that_the_store_refuses:
+        [(4_500, store_fault(StoreFault::RefusesSome(3, 1), 15_000))];
     /// Guards against agents that know of a change but can't hand it on, their first holders being gone.
-    a_change_is_passed_on_while_agents_are_replaced: [
-        (4_500, store(StoreFault::Refuses(3, 1), 15_000)),
+    a_change_is_forwarded_while_agents_restart: [
+        (4_500, store_fault(StoreFault::RefusesSome(3, 1), 15_000)),
         (9_300, SiteEvent::StopAgent { agent: 0, down_ms: 6_000 }),
         (9_600, SiteEvent::StopAgent { agent: 1, down_ms: 6_000 }),
         (9_900, SiteEvent::StopAgent { agent: 2, down_ms: 6_000 }),
     ];
-    a_change_is_in_force_in_time_while_entries_start_and_freeze: [
+    a_change_is_applied_in_time_while_entries_restart_and_freeze: [
         (8_900, SiteEvent::StopEntry { entry: 1, down_ms: 500 }),
         (9_200, SiteEvent::FreezeEntry { entry: 2, for_ms: 2_000 }),
         (14_900, SiteEvent::FreezeEntry { entry: 3, for_ms: 1_000 }),
     ];
-    a_zone_is_out_in_time_at_entries_that_the_store_refuses: [
-        (4_500, store(StoreFault::Refuses(3, 1), 18_000)),
-        (6_000, SiteEvent::Zone { is_out: true }),
+    a_zone_is_evacuated_in_time_at_entries_that_the_store_refuses: [
+        (4_500, store_fault(StoreFault::RefusesSome(3, 1), 18_000)),
+        (6_000, SiteEvent::Zone { is_evacuated: true }),
     ];
 }
 
 /// Guards against sessions that are lost because a document goes before their beats.
 #[tokio::test(start_paused = true)]
-async fn a_large_document_costs_no_session() {
-    let mut site = SiteModel::start(site(growing(LARGE)));
-    site.play().await;
+async fn a_large_document_disconnects_no_session() {
+    let mut site = SiteSimulation::start(site_plan(growing_documents(LARGE_DOCUMENT_BYTES)));
+    site.run().await;
     assert_eq!(site.sessions_lost(), 0);
 }
 
 /// Guards against calls without a pause while reads show a state whose history is gone.
 #[tokio::test(start_paused = true)]
-async fn a_gone_history_is_not_asked_for_without_a_pause() {
+async fn discarded_history_is_not_requested_without_backoff() {
     let mut events = vec![
         (
             5_000,
             SiteEvent::Config {
                 version: 2,
-                bytes: SMALL,
+                bytes: SMALL_DOCUMENT_BYTES,
             },
         ),
-        (4_900, store(StoreFault::StaleReads(5_500), 10_000)),
+        (4_900, store_fault(StoreFault::StaleReads(5_500), 10_000)),
         (5_020, SiteEvent::ForgetHistory),
     ];
     events.extend((0..5).map(|entry| (5_040, SiteEvent::StopEntry { entry, down_ms: 40 })));
-    let mut site = SiteModel::start(site(events));
-    site.play().await;
-    assert_eq!(site.broken, Vec::<String>::new());
+    let mut site = SiteSimulation::start(site_plan(events));
+    site.run().await;
+    assert_eq!(site.violations, Vec::<String>::new());
     let (entries, seconds) = (5, 24);
     let calls = site.store_calls();
     assert!(
-        calls <= entries * seconds * MOST_CALLS_PER_S,
+        calls <= entries * seconds * MAX_STORE_CALLS_PER_S,
         "{calls} calls"
     );
 }
 
 /// A fault of any kind.
-fn draw_event(chance: &mut ChaCha8Rng, plan: &SitePlan) -> SiteEvent {
+fn random_event(rng: &mut ChaCha8Rng, plan: &SitePlan) -> SiteEvent {
     let (entry, agent) = (
-        chance.random_range(0..plan.entry_links.len()),
-        chance.random_range(0..plan.agents),
+        rng.random_range(0..plan.entry_links.len()),
+        rng.random_range(0..plan.agents),
     );
-    let for_ms = chance.random_range(300..4_500);
-    let fault = match chance.random_range(0..13) {
+    let for_ms = rng.random_range(300..4_500);
+    let fault = match rng.random_range(0..13) {
         0 => return SiteEvent::ForgetHistory,
         1 => {
             return SiteEvent::StopEntry {
@@ -166,44 +172,43 @@
         }
         5 => {
             return SiteEvent::Zone {
-                is_out: chance.random_bool(0.5),
+                is_evacuated: rng.random_bool(0.5),
             };
         }
         6 => StoreFault::Slow(60),
-        7 => StoreFault::Silent,
-        8 => StoreFault::Refusing,
-        9 => StoreFault::LosesAnswers(3),
-        10 => StoreFault::CutsFeeds,
+        7 => StoreFault::Unresponsive,
+        8 => StoreFault::RefusesAll,
+        9 => StoreFault::DropsResponses(3),
+        10 => StoreFault::FeedsFail,
         11 => StoreFault::StaleReads(5_500),
-        _ => StoreFault::Refuses(3, chance.random_range(0..3)),
+        _ => StoreFault::RefusesSome(3, rng.random_range(0..3)),
     };
-    store(fault, for_ms)
+    store_fault(fault, for_ms)
 }
 
-fn draw_plan(seed: u64) -> SitePlan {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut plan = site(Vec::new());
+fn random_plan(seed: u64) -> SitePlan {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut plan = site_plan(Vec::new());
     plan.end_ms = 45_000;
     for version in 2..12 {
-        let at_ms = 3_000 + version * 3_000 + chance.random_range(0..2_500);
-        let bytes = chance.random_range(1_000..LARGE);
+        let at_ms = 3_000 + version * 3_000 + rng.random_range(0..2_500);
+        let bytes = rng.random_range(1_000..LARGE_DOCUMENT_BYTES);
         plan.events
             .push((at_ms, SiteEvent::Config { version, bytes }));
     }
-    for _ in 0..chance.random_range(1..8) {
-        let event = draw_event(&mut chance, &plan);
-        plan.events
-            .push((chance.random_range(4_000..38_000), event));
+    for _ in 0..rng.random_range(1..8) {
+        let event = random_event(&mut rng, &plan);
+        plan.events.push((rng.random_range(4_000..38_000), event));
     }
     plan
 }
 
 /// Guards against faults of store, entries and agents that overlap.
 #[tokio::test(start_paused = true)]
-async fn changes_are_in_force_in_time_under_any_mix_of_faults() {
-    for seed in 0..SEEDS {
-        let broken = broken(draw_plan(seed)).await;
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
+async fn changes_are_applied_in_time_under_random_faults() {
+    for seed in 0..SEED_COUNT {
+        let violations = violations_of(random_plan(seed)).await;
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -216,9 +221,9 @@
     let (first, end): (u64, u64) = (first.parse().expect("first"), end.parse().expect("end"));
     let mut failed = Vec::new();
     for seed in first..end {
-        let broken = broken(draw_plan(seed)).await;
-        if !broken.is_empty() {
-            println!("seed {seed}: {broken:?}");
+        let violations = violations_of(random_plan(seed)).await;
+        if !violations.is_empty() {
+            println!("seed {seed}: {violations:?}");
             failed.push(seed);
         }
     }
--- a/src/site_entry/tests/events.rs
+++ b/src/site_entry/tests/events.rs
@@ -45,7 +45,7 @@
 ];
 
 #[test]
-fn the_page_names_every_event() {
+fn the_operations_page_names_every_event() {
     let page = include_str!("../../../docs/OPERATIONS.md");
     let missing: Vec<&str> = EVENTS
         .into_iter()
--- a/src/site_entry/tests/fakes.rs
+++ b/src/site_entry/tests/fakes.rs
@@ -15,9 +15,9 @@
 
 /// Counts nothing.
 #[derive(Debug)]
-pub(super) struct NoMetrics;
+pub(super) struct NoopMetrics;
 
-impl Metrics for NoMetrics {
+impl Metrics for NoopMetrics {
     fn add(&self, _: Counter, _: &'static str, _: u64) {}
 
     fn set(&self, _: Gauge, _: u64) {}
@@ -31,43 +31,43 @@
 
 /// Writes nothing down.
 #[derive(Debug)]
-pub(super) struct NoLines;
+pub(super) struct NoopDecisionLog;
 
-impl DecisionLog for NoLines {
+impl DecisionLog for NoopDecisionLog {
     fn write(&self, _: LogPriority, _: Value) {}
 }
 
 /// A store that never answers.
 #[derive(Debug)]
-pub(super) struct NoStore;
+pub(super) struct UnavailableStore;
 
-fn away<T>() -> Result<T, StoreError> {
+fn unavailable<T>() -> Result<T, StoreError> {
     Err(StoreError::Unavailable("away".to_owned()))
 }
 
 #[async_trait]
-impl SiteStore for NoStore {
+impl SiteStore for UnavailableStore {
     async fn read_operator_rows(&self) -> Result<OperatorRows, StoreError> {
-        away()
+        unavailable()
     }
 
     async fn wait_for_operators(&self, _: u64, _: u64) -> Result<OperatorChange, StoreError> {
-        away()
+        unavailable()
     }
 
     async fn read_entries(
         &self,
         _: EntryListReplica,
     ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
-        away()
+        unavailable()
     }
 
     async fn wait_for_entries(&self, _: u64, _: u64) -> Result<EntryListChange, StoreError> {
-        away()
+        unavailable()
     }
 
     async fn add_entry(&self, _: SocketAddr, _: EntryListReplica) -> Result<u64, StoreError> {
-        away()
+        unavailable()
     }
 
     async fn remove_entry(
@@ -76,14 +76,14 @@
         _: EntryListReplica,
         _: u64,
     ) -> Result<(), StoreError> {
-        away()
+        unavailable()
     }
 
     async fn read_worker(&self, _: &str) -> Result<Option<WorkerView>, StoreError> {
-        away()
+        unavailable()
     }
 
     async fn store_worker(&self, _: &str, _: &WorkerView) -> Result<(), StoreError> {
-        away()
+        unavailable()
     }
 }
--- a/src/site_entry/tests/mod.rs
+++ b/src/site_entry/tests/mod.rs
@@ -3,5 +3,5 @@
 mod config_changes;
 mod events;
 mod fakes;
-mod news;
+mod operator_rows;
 mod site;
--- a/src/site_entry/tests/site/agent_model.rs
+++ b/src/site_entry/tests/site/agent_model.rs
@@ -25,10 +25,10 @@
 #[derive(Debug)]
 pub(super) enum AgentInput {
     Event(ExecutionEvent),
-    Opened {
+    SessionOpened {
         session: SessionId,
         outgoing: mpsc::UnboundedSender<AgentFrame>,
-        cleared: oneshot::Sender<()>,
+        drained: oneshot::Sender<()>,
     },
 }
 
@@ -49,14 +49,14 @@
     let timer = PausedTimer { host, origin };
     let mut ticks = timer.subscribe(TICK_MS);
     let mut outgoing = BTreeMap::new();
-    let mut clearing = BTreeMap::new();
+    let mut drain_notifiers = BTreeMap::new();
     loop {
         let event = tokio::select! {
             input = inputs.recv() => match input {
                 Some(AgentInput::Event(event)) => event,
-                Some(AgentInput::Opened { session, outgoing: frames, cleared }) => {
+                Some(AgentInput::SessionOpened { session, outgoing: frames, drained }) => {
                     outgoing.insert(session, frames);
-                    clearing.insert(session, cleared);
+                    drain_notifiers.insert(session, drained);
                     ExecutionEvent::SessionOpened { session, entry: format!("{session:?}") }
                 }
                 None => return,
@@ -75,8 +75,8 @@
                 }
                 ExecutionAction::SessionDrained { session } => {
                     outgoing.remove(&session);
-                    if let Some(cleared) = clearing.remove(&session) {
-                        let _: Result<(), _> = cleared.send(());
+                    if let Some(drained) = drain_notifiers.remove(&session) {
+                        let _: Result<(), _> = drained.send(());
                     }
                 }
                 _ => {}
@@ -94,50 +94,50 @@
     FrameDuplex<AgentFrame, EntryFrame>,
     FrameDuplex<EntryFrame, AgentFrame>,
 ) {
-    let (at_entry, from_entry) = mpsc::unbounded_channel();
-    let (at_agent, from_agent) = mpsc::unbounded_channel();
+    let (entry_outgoing, entry_frames) = mpsc::unbounded_channel();
+    let (agent_outgoing, agent_frames) = mpsc::unbounded_channel();
     let (to_entry, entry_incoming) = mpsc::channel(256);
     let (to_agent, agent_incoming) = mpsc::channel(256);
     let (entry, agent) = (Arc::clone(entry), Arc::clone(agent));
     spawn(Box::pin(async move {
         // Either end closes the session.
         tokio::select! {
-            () = carry(Arc::clone(&entry), Arc::clone(&agent), from_entry, to_agent) => {}
-            () = carry(agent, entry, from_agent, to_entry) => {}
+            () = relay_frames(Arc::clone(&entry), Arc::clone(&agent), entry_frames, to_agent) => {}
+            () = relay_frames(agent, entry, agent_frames, to_entry) => {}
         }
     }));
     let entry_end = FrameDuplex {
         incoming: entry_incoming,
-        outgoing: at_entry,
+        outgoing: entry_outgoing,
     };
     let agent_end = FrameDuplex {
         incoming: agent_incoming,
-        outgoing: at_agent,
+        outgoing: agent_outgoing,
     };
     (entry_end, agent_end)
 }
 
-async fn carry<F: Serialize>(
+async fn relay_frames<F: Serialize>(
     from: Arc<HostModel>,
     to: Arc<HostModel>,
     mut frames: mpsc::UnboundedReceiver<F>,
-    arrived: mpsc::Sender<F>,
+    delivered: mpsc::Sender<F>,
 ) {
     loop {
         let frame = tokio::select! {
             frame = frames.recv() => frame,
-            () = arrived.closed() => None,
+            () = delivered.closed() => None,
         };
         let Some(frame) = frame else {
             return;
         };
-        let text = bincode::serde::encode_to_vec(&frame, bincode::config::standard());
-        let sent = from.send(&to, text.expect("a frame").len());
+        let encoded = bincode::serde::encode_to_vec(&frame, bincode::config::standard());
+        let sent = from.send(&to, encoded.expect("a frame").len());
         tokio::select! {
             () = sent => {}
-            () = arrived.closed() => return,
+            () = delivered.closed() => return,
         }
-        if arrived.send(frame).await.is_err() {
+        if delivered.send(frame).await.is_err() {
             return;
         }
     }
--- a/src/site_entry/tests/site/entry_model.rs
+++ b/src/site_entry/tests/site/entry_model.rs
@@ -16,7 +16,7 @@
             dispatch_loop::{AgentLink, DispatchLoop},
             operator_rows_watcher::OperatorRowsWatcher,
             state::EntryState,
-            tests::fakes::NoMetrics,
+            tests::fakes::NoopMetrics,
         },
     },
     serde_json::Value,
@@ -29,9 +29,9 @@
 
 /// Remembers the zones that an entry takes as out.
 #[derive(Debug, Default)]
-struct ZoneLines(Mutex<BTreeSet<String>>);
+struct EvacuatedZonesLog(Mutex<BTreeSet<String>>);
 
-impl DecisionLog for ZoneLines {
+impl DecisionLog for EvacuatedZonesLog {
     fn write(&self, _: LogPriority, line: Value) {
         if line["event"] == "news_in_force" {
             let zones = serde_json::from_value(line["evacuated"].clone());
@@ -42,17 +42,17 @@
 
 /// One life of an entry's process.
 #[derive(Debug)]
-pub(super) struct EntryLife {
+pub(super) struct EntryIncarnation {
     /// Ends with the life.
     tasks: Arc<Mutex<JoinSet<()>>>,
     state: Arc<EntryState>,
-    lines: Arc<ZoneLines>,
-    pub(super) opened: mpsc::UnboundedSender<AgentLink>,
+    zones_log: Arc<EvacuatedZonesLog>,
+    pub(super) link_sender: mpsc::UnboundedSender<AgentLink>,
     /// The highest version of the configuration that was in force.
-    pub(super) highest: u64,
+    pub(super) highest_version: u64,
 }
 
-impl EntryLife {
+impl EntryIncarnation {
     pub(super) fn start(
         host: &Arc<HostModel>,
         store: &Arc<StoreModel>,
@@ -60,21 +60,21 @@
         origin: Instant,
         limits: RunLimits,
     ) -> Self {
-        let (inputs, taken) = mpsc::unbounded_channel();
-        let (opened, links) = mpsc::unbounded_channel();
-        let lines = Arc::new(ZoneLines::default());
+        let (inputs, input_receiver) = mpsc::unbounded_channel();
+        let (link_sender, links) = mpsc::unbounded_channel();
+        let zones_log = Arc::new(EvacuatedZonesLog::default());
         let state = Arc::new(EntryState::default());
         let client = StoreClient {
             store: Arc::clone(store),
             host: Arc::clone(host),
             number,
         };
-        let news = Arc::new(OperatorRowsWatcher {
+        let rows_watcher = Arc::new(OperatorRowsWatcher {
             store: Arc::new(client),
             state: Arc::clone(&state),
             inputs: inputs.clone(),
-            decisions: Arc::clone(&lines) as Arc<dyn DecisionLog>,
-            metrics: Arc::new(NoMetrics),
+            decisions: Arc::clone(&zones_log) as Arc<dyn DecisionLog>,
+            metrics: Arc::new(NoopMetrics),
             known: Mutex::default(),
         });
         let dispatch = DispatchLoop {
@@ -84,23 +84,23 @@
                 origin,
             }),
             state: Arc::clone(&state),
-            news: Arc::clone(&news),
-            decisions: Arc::clone(&lines) as Arc<dyn DecisionLog>,
-            metrics: Arc::new(NoMetrics),
+            rows_watcher: Arc::clone(&rows_watcher),
+            decisions: Arc::clone(&zones_log) as Arc<dyn DecisionLog>,
+            metrics: Arc::new(NoopMetrics),
             waiters: BTreeMap::new(),
             links: BTreeMap::new(),
-            last_link: 0,
-            inputs_back: inputs,
+            last_link_id: 0,
+            input_sender: inputs,
         };
         let mut tasks = JoinSet::new();
-        tasks.spawn(dispatch.run(taken, links));
-        tasks.spawn(news.follow());
+        tasks.spawn(dispatch.run(input_receiver, links));
+        tasks.spawn(rows_watcher.follow());
         Self {
             tasks: Arc::new(Mutex::new(tasks)),
             state,
-            lines,
-            opened,
-            highest: 0,
+            zones_log,
+            link_sender,
+            highest_version: 0,
         }
     }
 
@@ -110,11 +110,11 @@
     }
 
     /// Version of the configuration in force; zero before the first.
-    pub(super) fn version(&self) -> u64 {
+    pub(super) fn config_version(&self) -> u64 {
         self.state.config().map_or(0, |config| config.version)
     }
 
-    pub(super) fn zones_out(&self) -> BTreeSet<String> {
-        self.lines.0.lock().expect("lock").clone()
+    pub(super) fn evacuated_zones(&self) -> BTreeSet<String> {
+        self.zones_log.0.lock().expect("lock").clone()
     }
 }
--- a/src/site_entry/tests/site/host_model.rs
+++ b/src/site_entry/tests/site/host_model.rs
@@ -11,7 +11,7 @@
 /// Most bytes under way on one connection.
 const WINDOW_BYTES: usize = 64 << 10;
 /// Time from one host to another.
-const DELAY: Duration = Duration::from_millis(1);
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
 /// A host's link: what leaves shares its bandwidth, and so does what arrives.
 #[derive(Debug)]
@@ -30,8 +30,8 @@
 }
 
 /// Position of a direction in the times at which the link is idle.
-const OUT: usize = 0;
-const IN: usize = 1;
+const OUTBOUND: usize = 0;
+const INBOUND: usize = 1;
 
 impl HostModel {
     pub(super) fn new(mbit_per_s: u64) -> Self {
@@ -51,33 +51,33 @@
     }
 
     /// When bytes that are sent now have passed the link.
-    fn pass(&self, direction: usize, bytes: usize) -> Instant {
+    fn reserve_link(&self, direction: usize, bytes: usize) -> Instant {
         let mut state = self.state();
-        let begins_at = state.idle_at[direction].max(Instant::now());
+        let starts_at = state.idle_at[direction].max(Instant::now());
         let micros = bytes as u64 * 1_000 / self.bytes_per_ms;
-        state.idle_at[direction] = begins_at + Duration::from_micros(micros);
+        state.idle_at[direction] = starts_at + Duration::from_micros(micros);
         state.idle_at[direction]
     }
 
     /// Sends bytes to another host, a window at a time.
     pub(super) async fn send(&self, to: &Self, bytes: usize) {
-        self.thawed().await;
+        self.wait_while_frozen().await;
         for window in windows(bytes) {
-            let left_at = self.pass(OUT, window);
-            sleep_until(left_at.max(to.pass(IN, window)) + DELAY).await;
+            let sent_at = self.reserve_link(OUTBOUND, window);
+            sleep_until(sent_at.max(to.reserve_link(INBOUND, window)) + LINK_DELAY).await;
         }
-        to.thawed().await;
+        to.wait_while_frozen().await;
     }
 
     /// Receives a window of bytes from the store; the acknowledgement of each waits behind what leaves.
     pub(super) async fn receive(&self, bytes: usize) {
-        sleep_until(self.pass(IN, bytes) + DELAY).await;
-        sleep_until(self.pass(OUT, 0) + DELAY).await;
-        self.thawed().await;
+        sleep_until(self.reserve_link(INBOUND, bytes) + LINK_DELAY).await;
+        sleep_until(self.reserve_link(OUTBOUND, 0) + LINK_DELAY).await;
+        self.wait_while_frozen().await;
     }
 
     /// Waits until the host is at work.
-    pub(super) async fn thawed(&self) {
+    pub(super) async fn wait_while_frozen(&self) {
         loop {
             let frozen_until = self.state().frozen_until;
             if Instant::now() >= frozen_until {
@@ -94,13 +94,13 @@
         state.disturbed_at = until;
     }
 
-    pub(super) fn disturb(&self) {
+    pub(super) fn mark_disturbed(&self) {
         let mut state = self.state();
         state.disturbed_at = state.disturbed_at.max(Instant::now());
     }
 
     /// For how long the host has not been disturbed.
-    pub(super) fn calm_for(&self) -> Duration {
+    pub(super) fn undisturbed_for(&self) -> Duration {
         let disturbed_at = self.state().disturbed_at;
         Instant::now().saturating_duration_since(disturbed_at)
     }
--- a/src/site_entry/tests/site/mod.rs
+++ b/src/site_entry/tests/site/mod.rs
@@ -4,11 +4,11 @@
 mod entry_model;
 mod host_model;
 mod paused_timer;
-mod site_model;
+mod site_simulation;
 mod store_model;
 
 pub(super) use {
     host_model::HostModel,
-    site_model::{SiteEvent, SiteModel, SitePlan},
+    site_simulation::{SiteEvent, SitePlan, SiteSimulation},
     store_model::StoreFault,
 };
--- a/src/site_entry/tests/site/paused_timer.rs
+++ b/src/site_entry/tests/site/paused_timer.rs
@@ -26,7 +26,7 @@
         tokio::spawn(async move {
             while !sender.is_closed() {
                 tokio::time::sleep(Duration::from_millis(period_ms)).await;
-                timer.host.thawed().await;
+                timer.host.wait_while_frozen().await;
                 let _ = sender.try_send(timer.now());
             }
         });
--- a/src/site_entry/tests/site/site_model.rs
+++ b/src/site_entry/tests/site/site_simulation.rs
@@ -4,7 +4,7 @@
     super::{
         HostModel, StoreFault,
         agent_model::{AgentInput, connect, run_agent},
-        entry_model::EntryLife,
+        entry_model::EntryIncarnation,
         store_model::{StoreModel, ZONE},
     },
     crate::{
@@ -31,14 +31,14 @@
 };
 
 /// Time after its acknowledgement in which a change must be in force, and a zone must be out.
-const CONFIG_APPLY: Duration = Duration::from_millis(3_000);
-const EVACUATE: Duration = Duration::from_millis(5_000);
+const CONFIG_APPLY_LIMIT: Duration = Duration::from_millis(3_000);
+const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
 /// Time for which host and store must have been calm for these bounds to hold.
-const CONTACT: Duration = Duration::from_millis(4_000);
+const CALM_PERIOD: Duration = Duration::from_millis(4_000);
 /// What is added to the bounds where the store turns some hosts away.
-const STRETCH: Duration = Duration::from_millis(6_000);
+const PARTIAL_OUTAGE_EXTRA_TIME: Duration = Duration::from_millis(6_000);
 const STEP_MS: u64 = 20;
-const DIAL_PAUSE_MS: u64 = 50;
+const DIAL_INTERVAL_MS: u64 = 50;
 const AGENT_MBIT_PER_S: u64 = 1_000;
 
 /// Something that happens to a site.
@@ -51,7 +51,7 @@
     },
     /// The operator takes a zone out, or back.
     Zone {
-        is_out: bool,
+        is_evacuated: bool,
     },
     Store {
         fault: StoreFault,
@@ -96,14 +96,14 @@
     store: Arc<StoreModel>,
     entry_hosts: Vec<Arc<HostModel>>,
     agent_hosts: Vec<Arc<HostModel>>,
-    entries: Vec<Mutex<Option<EntryLife>>>,
+    entries: Vec<Mutex<Option<EntryIncarnation>>>,
     last_session: AtomicU64,
     sessions_lost: AtomicU64,
 }
 
 /// A running site.
 #[derive(Debug)]
-pub(in crate::site_entry::tests) struct SiteModel {
+pub(in crate::site_entry::tests) struct SiteSimulation {
     shared: Arc<Shared>,
     agents: Vec<JoinSet<()>>,
     events: Vec<(u64, SiteEvent)>,
@@ -111,7 +111,7 @@
     configs: Vec<(Instant, u64)>,
     zones: Vec<(Instant, BTreeSet<String>)>,
     /// Promises that were broken.
-    pub(in crate::site_entry::tests) broken: Vec<String>,
+    pub(in crate::site_entry::tests) violations: Vec<String>,
 }
 
 fn document(version: u64, bytes: usize) -> Arc<[u8]> {
@@ -119,7 +119,7 @@
     Arc::from(format!(r#"{{"version":{version},"padding":"{padding}"}}"#).into_bytes())
 }
 
-impl SiteModel {
+impl SiteSimulation {
     /// Starts a site whose first configuration has version one.
     pub(in crate::site_entry::tests) fn start(plan: SitePlan) -> Self {
         let hosts = |links: Vec<u64>| -> Vec<Arc<HostModel>> {
@@ -145,7 +145,7 @@
             end_ms: plan.end_ms,
             configs: vec![(shared.origin, 1)],
             zones: vec![(shared.origin, BTreeSet::new())],
-            broken: Vec::new(),
+            violations: Vec::new(),
             shared,
         };
         site.events.sort_by_key(|(at_ms, _)| *at_ms);
@@ -155,7 +155,7 @@
     }
 
     /// Plays the day, or up to the first broken promise.
-    pub(in crate::site_entry::tests) async fn play(&mut self) {
+    pub(in crate::site_entry::tests) async fn run(&mut self) {
         for now_ms in (0..self.end_ms).step_by(STEP_MS as usize) {
             while self
                 .events
@@ -166,8 +166,8 @@
                 self.apply(now_ms, event);
             }
             sleep(Duration::from_millis(STEP_MS)).await;
-            self.check(now_ms);
-            if !self.broken.is_empty() {
+            self.check_invariants(now_ms);
+            if !self.violations.is_empty() {
                 return;
             }
         }
@@ -183,7 +183,7 @@
         self.shared.store.calls()
     }
 
-    fn later(&mut self, at_ms: u64, event: SiteEvent) {
+    fn schedule(&mut self, at_ms: u64, event: SiteEvent) {
         self.events.push((at_ms, event));
         self.events.sort_by_key(|(at_ms, _)| *at_ms);
     }
@@ -196,8 +196,9 @@
                 shared.store.write_document(text);
                 self.configs.push((Instant::now(), version));
             }
-            SiteEvent::Zone { is_out } => {
-                let zones: BTreeSet<String> = is_out.then(|| ZONE.to_owned()).into_iter().collect();
+            SiteEvent::Zone { is_evacuated } => {
+                let zones: BTreeSet<String> =
+                    is_evacuated.then(|| ZONE.to_owned()).into_iter().collect();
                 shared.store.write_zones(&zones);
                 self.zones.push((Instant::now(), zones));
             }
@@ -205,13 +206,13 @@
             SiteEvent::ForgetHistory => shared.store.forget_history(),
             SiteEvent::StopEntry { entry, down_ms } => {
                 shared.entries[entry].lock().expect("lock").take();
-                shared.entry_hosts[entry].disturb();
-                self.later(now_ms + down_ms, SiteEvent::StartEntry { entry });
+                shared.entry_hosts[entry].mark_disturbed();
+                self.schedule(now_ms + down_ms, SiteEvent::StartEntry { entry });
             }
             SiteEvent::FreezeEntry { entry, for_ms } => shared.entry_hosts[entry].freeze(for_ms),
             SiteEvent::StopAgent { agent, down_ms } => {
                 self.agents[agent] = JoinSet::new();
-                self.later(now_ms + down_ms, SiteEvent::StartAgent { agent });
+                self.schedule(now_ms + down_ms, SiteEvent::StartAgent { agent });
             }
             SiteEvent::StartEntry { entry } => shared.start_entry(entry),
             SiteEvent::StartAgent { agent } => self.start_agent(agent),
@@ -219,7 +220,7 @@
     }
 
     fn start_agent(&mut self, agent: usize) {
-        let (inputs, taken) = mpsc::unbounded_channel();
+        let (inputs, input_receiver) = mpsc::unbounded_channel();
         let shared = &self.shared;
         let mut tasks = JoinSet::new();
         tasks.spawn(run_agent(
@@ -227,48 +228,49 @@
             Arc::clone(&shared.agent_hosts[agent]),
             shared.origin,
             shared.limits,
-            taken,
+            input_receiver,
         ));
         for entry in 0..shared.entries.len() {
-            tasks.spawn(Arc::clone(shared).keep_session(agent, entry, inputs.clone()));
+            tasks.spawn(Arc::clone(shared).maintain_session(agent, entry, inputs.clone()));
         }
         self.agents[agent] = tasks;
     }
 
-    fn check(&mut self, now_ms: u64) {
+    fn check_invariants(&mut self, now_ms: u64) {
         let now = Instant::now();
-        let newest_of = |acked: &[(Instant, u64)], allowed| {
+        let newest_due = |acked: &[(Instant, u64)], allowed| {
             let due = acked.iter().filter(|(at, _)| now - *at >= allowed);
             due.map(|(_, version)| *version).max().unwrap_or(0)
         };
         for (number, entry) in self.shared.entries.iter().enumerate() {
             let mut entry = entry.lock().expect("lock");
-            let Some(life) = entry.as_mut() else {
+            let Some(incarnation) = entry.as_mut() else {
                 continue;
             };
-            let version = life.version();
-            let highest = life.highest;
+            let version = incarnation.config_version();
+            let highest = incarnation.highest_version;
             if version < highest {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{now_ms} ms: entry {number} went from {highest} to {version}"
                 ));
             }
-            life.highest = version;
-            let Some(stretch) = self.shared.stretch_of(number) else {
+            incarnation.highest_version = version;
+            let Some(extra_time) = self.shared.extra_time(number) else {
                 continue;
             };
-            let due = newest_of(&self.configs, CONFIG_APPLY + stretch);
+            let due = newest_due(&self.configs, CONFIG_APPLY_LIMIT + extra_time);
             if version < due {
-                self.broken.push(format!(
-                    "{now_ms} ms: entry {number} goes by {version} and not by {due}"
+                self.violations.push(format!(
+                    "{now_ms} ms: entry {number} applies version {version} instead of {due}"
                 ));
             }
-            let is_due = |(at, _): &&(Instant, BTreeSet<String>)| now - *at >= EVACUATE + stretch;
+            let is_due =
+                |(at, _): &&(Instant, BTreeSet<String>)| now - *at >= EVACUATION_LIMIT + extra_time;
             let due = self.zones.iter().filter(is_due).count().saturating_sub(1);
-            let known = life.zones_out();
+            let known = incarnation.evacuated_zones();
             if self.zones[due..].iter().all(|(_, zones)| *zones != known) {
-                self.broken.push(format!(
-                    "{now_ms} ms: entry {number} takes {known:?} as out"
+                self.violations.push(format!(
+                    "{now_ms} ms: entry {number} treats {known:?} as evacuated"
                 ));
             }
         }
@@ -277,37 +279,38 @@
 
 impl Shared {
     /// What is added to the bounds for an entry at this moment; none where they don't hold.
-    fn stretch_of(&self, entry: usize) -> Option<Duration> {
-        if self.entry_hosts[entry].calm_for() < CONTACT {
+    fn extra_time(&self, entry: usize) -> Option<Duration> {
+        if self.entry_hosts[entry].undisturbed_for() < CALM_PERIOD {
             None
-        } else if self.store.calm_for(false) >= CONTACT {
+        } else if self.store.undisturbed_for(false) >= CALM_PERIOD {
             Some(Duration::ZERO)
         } else {
-            (self.store.calm_for(true) >= CONTACT).then_some(STRETCH)
+            (self.store.undisturbed_for(true) >= CALM_PERIOD).then_some(PARTIAL_OUTAGE_EXTRA_TIME)
         }
     }
 
     fn start_entry(&self, entry: usize) {
         let host = &self.entry_hosts[entry];
-        host.disturb();
-        let life = EntryLife::start(host, &self.store, entry, self.origin, self.limits);
-        *self.entries[entry].lock().expect("lock") = Some(life);
+        host.mark_disturbed();
+        let incarnation =
+            EntryIncarnation::start(host, &self.store, entry, self.origin, self.limits);
+        *self.entries[entry].lock().expect("lock") = Some(incarnation);
     }
 
     fn connect(&self, agent: usize, entry: usize) -> Option<FrameDuplex<EntryFrame, AgentFrame>> {
-        let life = self.entries[entry].lock().expect("lock");
-        let life = life.as_ref()?;
+        let incarnation = self.entries[entry].lock().expect("lock");
+        let incarnation = incarnation.as_ref()?;
         let (entry_end, agent_end) = connect(
             &self.entry_hosts[entry],
             &self.agent_hosts[agent],
-            |carrying| life.spawn(carrying),
+            |relay| incarnation.spawn(relay),
         );
-        life.opened.send(entry_end).ok()?;
+        incarnation.link_sender.send(entry_end).ok()?;
         Some(agent_end)
     }
 
     /// Keeps a session of an agent with an entry.
-    async fn keep_session(
+    async fn maintain_session(
         self: Arc<Self>,
         agent: usize,
         entry: usize,
@@ -316,24 +319,24 @@
         loop {
             if let Some(mut duplex) = self.connect(agent, entry) {
                 let session = SessionId(self.last_session.fetch_add(1, Ordering::Relaxed));
-                let (cleared, is_clear) = oneshot::channel();
+                let (drained, session_drained) = oneshot::channel();
                 let outgoing = duplex.outgoing;
-                let opened = AgentInput::Opened {
+                let event = AgentInput::SessionOpened {
                     session,
                     outgoing,
-                    cleared,
+                    drained,
                 };
-                let _: Result<(), _> = inputs.send(opened);
+                let _: Result<(), _> = inputs.send(event);
                 while let Some(frame) = duplex.incoming.recv().await {
                     let event = ExecutionEvent::Frame { session, frame };
                     let _: Result<(), _> = inputs.send(AgentInput::Event(event));
                 }
                 self.sessions_lost.fetch_add(1, Ordering::Relaxed);
-                let lost = AgentInput::Event(ExecutionEvent::SessionLost { session });
-                let _: Result<(), _> = inputs.send(lost);
-                let _: Result<(), _> = is_clear.await;
+                let event = AgentInput::Event(ExecutionEvent::SessionLost { session });
+                let _: Result<(), _> = inputs.send(event);
+                let _: Result<(), _> = session_drained.await;
             }
-            sleep(Duration::from_millis(DIAL_PAUSE_MS)).await;
+            sleep(Duration::from_millis(DIAL_INTERVAL_MS)).await;
         }
     }
 }
--- a/src/site_entry/tests/site/store_model.rs
+++ b/src/site_entry/tests/site/store_model.rs
@@ -27,7 +27,7 @@
 pub(super) const ZONE: &str = "north";
 /// Time after which a caller gives up.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-const FEED_SLACK_MS: u64 = 500;
+const FEED_TIMEOUT_SLACK_MS: u64 = 500;
 
 /// What the store does wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,25 +35,25 @@
     /// Calls take this many times as long.
     Slow(u64),
     /// No call is answered.
-    Silent,
+    Unresponsive,
     /// Every call is refused.
-    Refusing,
+    RefusesAll,
     /// One call in so many is answered; the others stay silent.
-    LosesAnswers(u64),
+    DropsResponses(u64),
     /// Feeds fail.
-    CutsFeeds,
+    FeedsFail,
     /// Feeds say that nothing has changed.
     FeedsMissChanges,
     /// Reads show the rows as they were so long ago, in milliseconds.
     StaleReads(u64),
     /// Hosts whose number modulo the first is the second are refused.
-    Refuses(usize, usize),
+    RefusesSome(usize, usize),
 }
 
 impl StoreFault {
     /// Whether only some hosts are turned away, and the others served.
     pub(super) const fn is_partial(self) -> bool {
-        matches!(self, Self::Refuses(..))
+        matches!(self, Self::RefusesSome(..))
     }
 }
 
@@ -68,11 +68,11 @@
 struct StoreState {
     rows: Vec<Rows>,
     /// History is kept after this version only.
-    forgotten: u64,
+    history_after: u64,
     faults: BTreeMap<StoreFault, Instant>,
     /// Calls that reached the store, and those among them of which an answer might be lost.
     calls: u64,
-    answers: u64,
+    responses: u64,
     /// When all hosts, and when some hosts, were last not served as usual.
     disturbed_at: Instant,
     partly_disturbed_at: Instant,
@@ -100,10 +100,10 @@
         Self {
             state: Mutex::new(StoreState {
                 rows: vec![Rows { since: now, rows }],
-                forgotten: 0,
+                history_after: 0,
                 faults: BTreeMap::new(),
                 calls: 0,
-                answers: 0,
+                responses: 0,
                 disturbed_at: now,
                 partly_disturbed_at: now,
             }),
@@ -146,9 +146,9 @@
     }
 
     pub(super) fn forget_history(&self) {
-        let forgotten = self.newest().zones.version;
+        let history_after = self.newest().zones.version;
         let mut state = self.state();
-        state.forgotten = forgotten;
+        state.history_after = history_after;
         state.disturbed_at = state.disturbed_at.max(Instant::now());
         drop(state);
         self.changed.notify_waiters();
@@ -166,7 +166,7 @@
     }
 
     /// For how long all hosts were served, or at least some.
-    pub(super) fn calm_for(&self, partly: bool) -> Duration {
+    pub(super) fn undisturbed_for(&self, partly: bool) -> Duration {
         let state = self.state();
         let disturbed_at = if partly {
             state.disturbed_at
@@ -184,10 +184,10 @@
     }
 
     /// Whether the next answer is lost, where one in so many is not.
-    fn loses_answer(&self, of: u64) -> bool {
+    fn drops_response(&self, of: u64) -> bool {
         let mut state = self.state();
-        state.answers += 1;
-        !state.answers.is_multiple_of(of)
+        state.responses += 1;
+        !state.responses.is_multiple_of(of)
     }
 
     /// The rows that a read shows.
@@ -215,26 +215,26 @@
     Err(StoreError::Unavailable("refused".to_owned()))
 }
 
-fn bytes_of(document: Option<&Document>) -> usize {
+fn response_bytes(document: Option<&Document>) -> usize {
     // Values cross in base64.
     document.map_or(100, |document| 100 + document.text.len() * 4 / 3)
 }
 
 impl StoreClient {
     /// Waits as the store's faults say.
-    async fn reach(&self) -> Result<(), StoreError> {
-        self.host.thawed().await;
+    async fn apply_faults(&self) -> Result<(), StoreError> {
+        self.host.wait_while_frozen().await;
         self.store.state().calls += 1;
         let mut factor = 1;
         for fault in self.store.faults() {
             match fault {
                 StoreFault::Slow(times) => factor = times,
-                StoreFault::Silent => std::future::pending().await,
-                StoreFault::Refusing => return refused(),
-                StoreFault::LosesAnswers(of) if self.store.loses_answer(of) => {
+                StoreFault::Unresponsive => std::future::pending().await,
+                StoreFault::RefusesAll => return refused(),
+                StoreFault::DropsResponses(of) if self.store.drops_response(of) => {
                     std::future::pending().await
                 }
-                StoreFault::Refuses(of, which) if self.number % of == which => return refused(),
+                StoreFault::RefusesSome(of, rem) if self.number % of == rem => return refused(),
                 _ => {}
             }
         }
@@ -243,12 +243,12 @@
     }
 
     /// Gives up an answer that does not begin in time.
-    async fn within<T>(
+    async fn with_timeout<T>(
         &self,
         timeout_ms: u64,
-        beginning: impl Future<Output = Result<T, StoreError>>,
+        call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let limited = timeout(Duration::from_millis(timeout_ms), beginning).await;
+        let limited = timeout(Duration::from_millis(timeout_ms), call).await;
         limited.unwrap_or_else(|_| Err(StoreError::OutcomeUnknown("timed out".to_owned())))
     }
 
@@ -259,8 +259,8 @@
     }
 
     async fn feed(&self, after: u64, wait_ms: u64) -> Result<OperatorChange, StoreError> {
-        self.reach().await?;
-        if self.store.faults().contains(&StoreFault::CutsFeeds) {
+        self.apply_faults().await?;
+        if self.store.faults().contains(&StoreFault::FeedsFail) {
             return refused();
         }
         if self.store.faults().contains(&StoreFault::FeedsMissChanges) {
@@ -283,18 +283,18 @@
     }
 
     fn change_after(&self, after: u64) -> OperatorChange {
-        let (newest, forgotten) = (self.store.newest(), self.store.state().forgotten);
+        let (newest, history_after) = (self.store.newest(), self.store.state().history_after);
         let version = newest.zones.version;
-        if after < forgotten {
+        if after < history_after {
             return OperatorChange::Forgotten;
         }
         if version <= after {
             return OperatorChange::None { version };
         }
-        let is_out = newest.zones.evacuated.contains(ZONE);
+        let is_evacuated = newest.zones.evacuated.contains(ZONE);
         OperatorChange::Rows {
             version,
-            zones: BTreeMap::from([(ZONE.to_owned(), is_out)]),
+            zones: BTreeMap::from([(ZONE.to_owned(), is_evacuated)]),
             document: newest.document.filter(|document| document.revision > after),
         }
     }
@@ -303,9 +303,10 @@
 #[async_trait]
 impl SiteStore for StoreClient {
     async fn read_operator_rows(&self) -> Result<OperatorRows, StoreError> {
-        self.within(CALL_TIMEOUT_MS, self.reach()).await?;
+        self.with_timeout(CALL_TIMEOUT_MS, self.apply_faults())
+            .await?;
         let rows = self.store.read();
-        self.receive(bytes_of(rows.document.as_ref())).await;
+        self.receive(response_bytes(rows.document.as_ref())).await;
         Ok(rows)
     }
 
@@ -315,9 +316,11 @@
         wait_ms: u64,
     ) -> Result<OperatorChange, StoreError> {
         let change = self.feed(after, wait_ms);
-        let change = self.within(wait_ms + FEED_SLACK_MS, change).await?;
+        let change = self
+            .with_timeout(wait_ms + FEED_TIMEOUT_SLACK_MS, change)
+            .await?;
         if let OperatorChange::Rows { document, .. } = &change {
-            self.receive(bytes_of(document.as_ref())).await;
+            self.receive(response_bytes(document.as_ref())).await;
         }
         Ok(change)
     }
