--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -1,4 +1,4 @@
-//! Keeps a session with each entry on the list.
+//! Maintains a session with each listed entry.
 
 use {
     super::execution_loop::LoopInput,
@@ -24,37 +24,35 @@
     },
 };
 
-/// Longest wait for a change of the list in one call, in milliseconds.
+/// Long-poll timeout of the change feed, in milliseconds.
 const LONG_POLL_MS: u64 = 5_000;
-/// Answers by which the feed is followed behind; the store's history must reach as far back.
+/// Number of responses by which the feed cursor lags; the store's history must reach as far back.
 const FEED_LAG_RESPONSES: usize = 2;
-/// Pauses after calls to the store that failed, in milliseconds; the first is doubled up to the last.
+/// Backoff after failed calls to the store, in milliseconds.
 const INITIAL_STORE_BACKOFF_MS: u64 = 100;
 const MAX_STORE_BACKOFF_MS: u64 = 1_000;
-/// Pause between a change of the list and reading it, in milliseconds, at least and at most.
+/// Range of the random delay between a change of the list and reading it, in milliseconds.
 ///
-/// An entry is three changes, and all entries may start together. Without the pause each change would be two
-/// calls of each agent: at 1,500 agents and 24 changes ten times what the store takes in a second.
+/// Entries that start together make many changes; the delay lets each agent read them at once
+/// and spreads the agents' reads.
 const REREAD_DELAY_RANGE_MS: (u64, u64) = (200, 800);
-/// Pauses after an entry could not be reached, in milliseconds; the first is doubled up to the last.
-///
-/// An entry that starts again is met within the last one; one that is gone for good costs a packet each.
+/// Backoff after a failed connection to an entry, in milliseconds.
 const INITIAL_DIAL_BACKOFF_MS: u64 = 50;
 const MAX_DIAL_BACKOFF_MS: u64 = 800;
 
-/// Dials entries.
+/// Connects to the listed entries.
 #[derive(Debug)]
 pub(super) struct Dialler {
     pub(super) store: Arc<dyn SiteStore>,
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
     pub(super) metrics: Arc<dyn Metrics>,
     pub(super) last_session: AtomicU64,
-    /// Entries to begin with where the list can't be read; some may be gone.
+    /// Entries to dial if the first read of the list fails; some may no longer exist.
     pub(super) seeds: Vec<SocketAddr>,
 }
 
 impl Dialler {
-    /// Follows the list of entries for as long as the process lives.
+    /// Follows the list of entries for the lifetime of the process.
     pub(super) async fn follow(self: Arc<Self>) {
         let mut dialled: BTreeMap<SocketAddr, watch::Sender<bool>> = BTreeMap::new();
         let mut backoff = Backoff::new(INITIAL_STORE_BACKOFF_MS, MAX_STORE_BACKOFF_MS);
@@ -78,7 +76,7 @@
         }
     }
 
-    /// Reads the first copy of the list that can be read, beginning with any.
+    /// Reads the replicas of the list in turn, from a random one, until a read succeeds.
     async fn read_list(&self) -> Result<(Vec<SocketAddr>, u64), StoreError> {
         let mut replicas = EntryListReplica::ALL;
         let first = rand::random_range(0..replicas.len());
@@ -94,7 +92,7 @@
         read
     }
 
-    /// Returns once some copy of the list has changed.
+    /// Returns once some replica of the list has changed.
     async fn wait_for_change(&self, read_at: u64) -> Result<(), StoreError> {
         let mut cursor = FeedCursor::new(read_at, FEED_LAG_RESPONSES);
         loop {
@@ -114,7 +112,7 @@
         entries: &[SocketAddr],
         dialled: &mut BTreeMap<SocketAddr, watch::Sender<bool>>,
     ) {
-        // An entry that has left keeps its session until it ends; it is dialled no more while it is not listed.
+        // A delisted entry keeps its session, but isn't dialled again while it isn't listed.
         for (entry, listed) in &*dialled {
             listed.send_replace(entries.contains(entry));
         }
@@ -127,18 +125,18 @@
         }
     }
 
-    /// Keeps a session with one entry whenever it is listed.
+    /// Maintains a session with one entry while it is listed.
     ///
-    /// An address has one keeper for good. Guards against two sessions with one entry: the list may lose an entry and
-    /// have it again while its session lives, and a second hello would tell the entry that nothing of
-    /// the first session runs.
+    /// Each address has a single task for the lifetime of the process. An entry may be delisted and
+    /// listed again while its session is open; the hello of a second session would tell the entry
+    /// that no run of the first session exists.
     async fn maintain_session(
         self: Arc<Self>,
         entry: SocketAddr,
         mut is_listed: watch::Receiver<bool>,
     ) {
         let mut backoff = Backoff::new(INITIAL_DIAL_BACKOFF_MS, MAX_DIAL_BACKOFF_MS);
-        // The sender is gone only with the process.
+        // The sender lives as long as the process.
         while is_listed.wait_for(|listed| *listed).await.is_ok() {
             match dial_link(entry, Arc::clone(&self.metrics)).await {
                 Ok(duplex) => {
@@ -147,14 +145,14 @@
                     self.metrics.count(Counter::PeerLosses, "session");
                 }
                 Err(error) => {
-                    log::debug!(entry:% = entry, error:% = error; "an entry can't be reached");
+                    log::debug!(entry:% = entry, error:% = error; "failed to connect to an entry");
                     backoff.wait().await;
                 }
             }
         }
     }
 
-    /// Returns when the session has ended and nothing that was started on it is left.
+    /// Returns when the session has ended and no run that was started on it is left.
     async fn run_session(&self, entry: SocketAddr, duplex: super::execution_loop::EntryLink) {
         let session = SessionId(self.last_session.fetch_add(1, Ordering::Relaxed));
         let (drained, session_drained) = oneshot::channel();
@@ -165,7 +163,7 @@
             outgoing: duplex.outgoing,
             drained,
         };
-        // The loop ends only with the process.
+        // The loop runs as long as the process.
         let _ = self.inputs.send(event);
         while let Some(frame) = incoming.recv().await {
             let event = ExecutionEvent::Frame { session, frame };
@@ -177,13 +175,13 @@
     }
 }
 
-/// Waits until the other entries that come or go at the same moment are on the list, too.
+/// Waits so that one read covers entries that are listed or delisted at the same time.
 async fn wait_before_reread() {
     let (min_ms, max_ms) = REREAD_DELAY_RANGE_MS;
     sleep(Duration::from_millis(rand::random_range(min_ms..=max_ms))).await;
 }
 
 async fn back_off(error: &StoreError, backoff: &mut Backoff) {
-    log::info!(error:% = error; "the list of entries can't be read");
+    log::info!(error:% = error; "failed to read the list of entries");
     backoff.wait().await;
 }
--- a/src/site_agent/execution_loop.rs
+++ b/src/site_agent/execution_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds the executor and carries its actions out.
+//! Event loop of an agent: passes events to the executor and executes its actions.
 
 use {
     crate::{
@@ -17,35 +17,35 @@
     tokio::sync::{mpsc, oneshot, watch},
 };
 
-/// Pause between ticks, in milliseconds: rights and leases are kept to within as much.
+/// Tick interval in milliseconds; leases and timeouts are checked at this resolution.
 const TICK_MS: u64 = 20;
 
-/// A session with an entry.
+/// Connection of this agent to an entry.
 pub(super) type EntryLink = FrameDuplex<EntryFrame, AgentFrame>;
 
-/// Something for the loop.
+/// Input of the event loop.
 #[derive(Debug)]
 pub(super) enum LoopInput {
-    /// Something for the executor.
+    /// An event for the executor.
     Event(ExecutionEvent),
-    /// The same from the worker, which waits until it has been acted on.
+    /// An event from the worker, which waits until it is handled.
     Report {
         event: ExecutionEvent,
         handled: oneshot::Sender<()>,
     },
-    /// A session with an entry is open.
+    /// A session with an entry was opened.
     SessionOpened {
         session: SessionId,
         entry: String,
         outgoing: mpsc::UnboundedSender<AgentFrame>,
-        /// Told once the session has ended and nothing of it is left.
+        /// Notified once the session has ended and none of its runs is left.
         drained: oneshot::Sender<()>,
     },
-    /// Runs that are not over.
+    /// Requests the number of unfinished runs.
     CountRuns { reply: oneshot::Sender<usize> },
 }
 
-/// Owns the executor.
+/// Owns the executor and the open sessions.
 #[derive(Debug)]
 pub(super) struct ExecutionLoop {
     pub(super) executor: Executor,
@@ -55,15 +55,15 @@
     pub(super) metrics: Arc<dyn Metrics>,
     pub(super) sessions: BTreeMap<SessionId, mpsc::UnboundedSender<AgentFrame>>,
     pub(super) drain_notifiers: BTreeMap<SessionId, oneshot::Sender<()>>,
-    /// What the worker last said of itself, to be kept for a later process.
+    /// Latest view of the worker, persisted for the agent's next process.
     pub(super) worker_view: watch::Sender<Option<WorkerView>>,
-    /// Turns true once nothing of an earlier process runs at the worker.
+    /// Turns true once no run of an earlier process is left at the worker.
     pub(super) stale_runs_stopped: watch::Sender<bool>,
     pub(super) input_sender: mpsc::UnboundedSender<LoopInput>,
 }
 
 impl ExecutionLoop {
-    /// Runs for as long as the process lives.
+    /// Runs until an input channel closes.
     pub(super) async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<LoopInput>) {
         let mut ticks = self.timer.subscribe(TICK_MS);
         loop {
@@ -116,7 +116,7 @@
     fn execute(&mut self, action: ExecutionAction) {
         match action {
             ExecutionAction::Send { session, frame } => {
-                // A session that has ended is told of by its reader.
+                // The reader of a closed session reports the disconnect.
                 if let Some(outgoing) = self.sessions.get(&session) {
                     let _ = outgoing.send(frame);
                 }
@@ -130,7 +130,7 @@
                     let _ = drained.send(());
                 }
             }
-            // Told again with each life of the worker; only the first matters.
+            // Repeated for each incarnation of the worker; only the first matters.
             ExecutionAction::StaleRunsStopped => {
                 self.stale_runs_stopped.send_replace(true);
             }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Calls the worker beside the loop, which takes the answer in as an event.
+    /// Calls the worker in a task of its own, which sends the response to the loop as an event.
     fn call_worker<C, F>(&self, call: C)
     where
         C: FnOnce(Arc<dyn WorkerClient>) -> F,
@@ -165,7 +165,7 @@
         let inputs = self.input_sender.clone();
         let event = call(Arc::clone(&self.worker));
         tokio::spawn(async move {
-            // The loop ends only with the process.
+            // The loop runs as long as the process.
             let _ = inputs.send(LoopInput::Event(event.await));
         });
     }
--- a/src/site_agent/mod.rs
+++ b/src/site_agent/mod.rs
@@ -1,4 +1,4 @@
-//! `rattanslip-agent` on a site: drives the executor beside one worker.
+//! `rattanslip-agent` on a site: runs the executor next to one worker.
 
 mod dialler;
 mod execution_loop;
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -1,4 +1,4 @@
-//! Wires an agent together and runs it until it is told to stop.
+//! Assembles an agent and runs it until a stop signal.
 
 use {
     super::{
@@ -32,14 +32,14 @@
     },
 };
 
-/// Time before the process is killed at which it ends by itself, in milliseconds.
+/// Margin between the process's own exit and the end of the stop grace period, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 400;
-/// Pause between looks at whether all runs are over, in milliseconds.
+/// Interval at which unfinished runs are polled on shutdown, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
-/// Time beyond a lease after which nothing runs that an earlier process had started, in milliseconds.
+/// Time after lease expiry until all runs of an earlier process have stopped, in milliseconds.
 const LEASE_SLACK_MS: u64 = 60;
 
-/// What the parts of an agent share.
+/// State that the components of an agent share.
 struct Shared {
     process: SiteProcess,
     inputs: mpsc::UnboundedSender<LoopInput>,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Serves the worker and whoever reads the metrics, for as long as the process lives.
+    /// Serves the worker's reports and metrics until `stopped` turns true.
     async fn serve_http_endpoints(
         &self,
         settings: &SiteAgentSettings,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Runs until the process is told to stop and its runs are over.
+/// Runs an agent until it is stopped and its runs have finished.
 pub(crate) async fn run_site_agent(settings: SiteAgentSettings) -> Result<(), RunError> {
     let site = &settings.site;
     let (inputs, input_receiver) = mpsc::unbounded_channel();
@@ -138,18 +138,18 @@
     Ok(())
 }
 
-/// Dials entries once nothing of an earlier process runs at the worker.
+/// Dials entries once no run of an earlier process is left at the worker.
 ///
-/// Guards against two runs of a task: a session's hello says that nothing from before runs
-/// here, but a process that was killed a moment ago may have left runs at the worker. They are
-/// over once the worker's lists under a newer token show none, or else when their lease is.
+/// A session's hello says that no earlier run exists, but a process that was just killed may have
+/// left runs at the worker, and a task could run twice. Those runs have ended once the worker's run
+/// list under a newer token is empty, and at the latest when their leases expire.
 async fn dial_after_stale_runs(
     dialler: Arc<Dialler>,
     mut stale_runs_receiver: watch::Receiver<bool>,
     lease_expiry_ms: u64,
 ) {
     let lease_expiry = Duration::from_millis(lease_expiry_ms);
-    // Either is enough, and the first session then opens half a second earlier.
+    // Either condition is sufficient; the run list usually arrives before the leases expire.
     let _ = timeout(
         lease_expiry,
         stale_runs_receiver.wait_for(|stopped| *stopped),
@@ -158,9 +158,9 @@
     dialler.follow().await;
 }
 
-/// A fencing token above those of this agent's earlier processes, as long as the time of day is right.
+/// Returns a fencing token above those of this agent's earlier processes if the system clock is right.
 ///
-/// Where it isn't, the worker rejects the token and the executor raises it.
+/// Otherwise the worker rejects the token and the executor raises it.
 fn initial_token() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_secs()
@@ -174,7 +174,7 @@
     run_count.await.unwrap_or(0)
 }
 
-/// Takes nothing new and waits until what runs is over.
+/// Stops accepting runs and waits until the current ones have finished.
 async fn shut_down(shared: &Shared, grace_ms: u64) {
     let Shared {
         process, inputs, ..
@@ -182,12 +182,12 @@
     let deadline = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     let open = count_runs(inputs).await;
     process.log_event(&ProcessLogEvent::Stopping { open, grace_ms });
-    // The loop ends only with the process.
+    // The loop runs as long as the process.
     let _ = inputs.send(LoopInput::Event(ExecutionEvent::Shutdown));
     while Instant::now() < deadline && count_runs(inputs).await > 0 {
         sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
-    // Ends that were just told are still on their way out.
+    // Leaves time to write the last outcomes to their sockets.
     sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     let open = count_runs(inputs).await;
     process.log_event(&ProcessLogEvent::Stopped { open });
--- a/src/site_agent/worker_report_handler.rs
+++ b/src/site_agent/worker_report_handler.rs
@@ -1,4 +1,4 @@
-//! Takes what the worker says of itself.
+//! HTTP handler for the worker's reports.
 
 use {
     super::execution_loop::LoopInput,
@@ -14,7 +14,7 @@
     tokio::sync::mpsc,
 };
 
-/// Passes the worker's reports to the executor; what can't be read is counted and left aside.
+/// Passes the worker's reports to the executor; counts and rejects invalid ones.
 #[derive(Debug)]
 pub(super) struct WorkerReportHandler {
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
@@ -28,7 +28,7 @@
             None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
-                log::info!(error:% = error; "a worker's report can't be read");
+                log::info!(error:% = error; "invalid worker report");
                 return HttpResponse::empty(StatusCode::BAD_REQUEST);
             }
             Some(Ok(report)) => report,
@@ -40,8 +40,8 @@
             }
             WorkerReport::Leave { worker } => ExecutionEvent::WorkerLeft { worker },
         };
-        // The report is acknowledged once the executor has acted on it: a worker that is about to
-        // end counts on being given nothing more.
+        // The report is acknowledged after the executor has handled it: a worker that is about to
+        // exit relies on getting no more tasks.
         let (handled, acknowledgement) = tokio::sync::oneshot::channel();
         let sent = self.inputs.send(LoopInput::Report { event, handled });
         match (sent, acknowledgement.await) {
--- a/src/site_entry/client_api.rs
+++ b/src/site_entry/client_api.rs
@@ -1,4 +1,4 @@
-//! Clients' calls.
+//! HTTP API for clients.
 
 use {
     super::{dispatch_loop::LoopInput, process_log_event::ProcessLogEvent, state::EntryState},
@@ -22,11 +22,10 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// When to come back to an entry that has no configuration yet, in milliseconds: two of its tries to
-/// read one.
+/// Retry delay sent to clients while this entry has no configuration, in milliseconds.
 const NOT_CONFIGURED_RETRY_MS: u64 = 1_000;
 
-/// Takes clients' calls and waits for the dispatcher's answers.
+/// Handles clients' requests and waits for the dispatcher's replies.
 #[derive(Debug)]
 pub(super) struct ClientApi {
     pub(super) state: Arc<EntryState>,
@@ -36,7 +35,7 @@
     pub(super) next_waiter: AtomicU64,
 }
 
-/// Tells the dispatcher that a client's connection is gone, unless the answer came first.
+/// Notifies the dispatcher when a client disconnects before its reply.
 #[derive(Debug)]
 struct DisconnectGuard<'a> {
     waiter: WaiterId,
@@ -50,7 +49,7 @@
             let event = DispatchEvent::ClientGone {
                 waiter: self.waiter,
             };
-            // The loop ends only with the process.
+            // The loop runs as long as the process.
             let _ = self.inputs.send(LoopInput::Event(event));
         }
     }
@@ -61,7 +60,7 @@
         let request = match PlatformClients::job(http_request) {
             Ok(request) => request,
             Err(error) => {
-                log::info!(job:% = id, error:% = error; "a job can't be read");
+                log::info!(job:% = id, error:% = error; "invalid job request");
                 self.record_rejection(http_request, RefusalReason::BadJob.as_str());
                 return PlatformClients::bad_request();
             }
@@ -85,7 +84,7 @@
         };
         let sent = self.inputs.send(LoopInput::Submit { submission, reply });
         if sent.is_err() {
-            log::warn!(job:% = id; "the dispatcher has ended");
+            log::warn!(job:% = id; "dispatcher is not running");
             return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
         }
         match outcome.await {
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Counts and writes down that a call gets no further.
+    /// Counts and logs a rejected request.
     fn record_rejection(&self, http_request: &HttpRequest, reason: &'static str) {
         self.metrics.count(Counter::Refusals, reason);
         let event = ProcessLogEvent::CallRefused {
@@ -148,7 +147,7 @@
     async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
         let response = self.route_request(&http_request).await;
         if self.state.is_leaving() {
-            // The client's next call then goes to another entry, over a new connection.
+            // Closes the connection so that the client's next request goes to another entry.
             return response.with_header(http::header::CONNECTION, "close");
         }
         response
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds the dispatcher and carries its actions out.
+//! Event loop of an entry: passes events to the dispatcher and executes its actions.
 
 use {
     super::{operator_rows_watcher::OperatorRowsWatcher, state::EntryState},
@@ -19,34 +19,34 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Pause between ticks, in milliseconds: rights and deadlines are kept to within as much.
+/// Tick interval in milliseconds; deadlines and timeouts are checked at this resolution.
 const TICK_MS: u64 = 20;
-/// Inputs taken together before tasks are placed.
+/// Maximum number of events passed to the dispatcher before it places tasks.
 const MAX_EVENTS_PER_BATCH: usize = 64;
 
-/// A session with an agent.
+/// Connection of an agent to this entry.
 pub(super) type AgentLink = FrameDuplex<AgentFrame, EntryFrame>;
 
-/// Something for the loop.
+/// Input of the event loop.
 #[derive(Debug)]
 pub(super) enum LoopInput {
-    /// A job, and where its answer goes.
+    /// A job, and the channel for its outcome.
     Submit {
         submission: Submission,
         reply: oneshot::Sender<JobOutcome>,
     },
-    /// Anything else for the dispatcher.
+    /// Any other event for the dispatcher.
     Event(DispatchEvent),
-    /// A question that the dispatcher's state answers.
+    /// Requests the number of pending jobs of a route.
     CountPending {
         route: String,
         reply: oneshot::Sender<usize>,
     },
-    /// Jobs that wait for their answer.
+    /// Requests the number of jobs without an outcome.
     CountOpenJobs { reply: oneshot::Sender<usize> },
 }
 
-/// Owns the dispatcher.
+/// Owns the dispatcher, the waiting clients and the connected agents.
 #[derive(Debug)]
 pub(super) struct DispatchLoop {
     pub(super) dispatcher: Dispatcher,
@@ -62,7 +62,7 @@
 }
 
 impl DispatchLoop {
-    /// Runs for as long as the process lives.
+    /// Runs until an input channel closes.
     pub(super) async fn run(
         mut self,
         mut inputs: mpsc::UnboundedReceiver<LoopInput>,
@@ -109,7 +109,7 @@
                 }
                 events.push(event);
             }
-            // Whoever asked may have gone.
+            // The requester may have disconnected.
             LoopInput::CountPending { route, reply } => {
                 let _ = reply.send(self.dispatcher.pending(&route));
             }
@@ -138,7 +138,7 @@
                         let bytes = u64::try_from(part.bytes.len()).unwrap_or(u64::MAX);
                         self.metrics.add(Counter::DocumentBytes, "sent", bytes);
                     }
-                    // A session that has ended is told of by its reader.
+                    // The reader of a closed link reports the disconnect.
                     if let Some(outgoing) = self.links.get(&link) {
                         let _ = outgoing.send(frame);
                     }
@@ -152,7 +152,7 @@
                     if matches!(answer, JobOutcome::NotRun { .. }) {
                         self.metrics.count(Counter::Refusals, reason);
                     }
-                    // A client that has gone meanwhile takes no answer.
+                    // The client may have disconnected meanwhile.
                     if let Some(reply) = self.waiters.remove(&waiter) {
                         let _ = reply.send(answer);
                     }
@@ -230,6 +230,6 @@
             return;
         }
     }
-    // The loop ends only with the process.
+    // The loop runs as long as the process.
     let _ = inputs.send(LoopInput::Event(DispatchEvent::LinkLost { link }));
 }
--- a/src/site_entry/entry_registration.rs
+++ b/src/site_entry/entry_registration.rs
@@ -1,4 +1,4 @@
-//! Keeps this entry on the list by which agents find it.
+//! Registers this entry in the list from which agents discover entries.
 
 use {
     super::store_health::StoreHealth,
@@ -10,20 +10,20 @@
     },
 };
 
-/// This entry's rows in the copies of the list.
+/// This entry's rows in the replicas of the entry list.
 #[derive(Debug)]
 pub(super) struct EntryRegistration {
     pub(super) store: Arc<dyn SiteStore>,
     pub(super) decisions: Arc<dyn DecisionLog>,
     pub(super) metrics: Arc<dyn Metrics>,
-    /// Where agents reach this entry.
+    /// Address that agents connect to.
     pub(super) entry: SocketAddr,
-    /// Versions of the rows that this process has made.
+    /// Versions of the rows that this process wrote.
     pub(super) rows: Mutex<BTreeMap<EntryListReplica, u64>>,
 }
 
 impl EntryRegistration {
-    /// Puts the entry into one copy, however often that must be tried.
+    /// Adds the entry to one replica; retries until it succeeds.
     pub(super) async fn register(self: Arc<Self>, replica: EntryListReplica) {
         let mut health = StoreHealth::new("join", &self.decisions, &self.metrics);
         loop {
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Takes the entry from all copies that this process has put it into, once.
+    /// Removes the entry from all replicas that this process added it to, without retries.
     ///
-    /// A row that stays costs each agent an attempt to connect now and then.
+    /// A leftover row only costs each agent occasional failed connection attempts.
     pub(super) async fn deregister(self: Arc<Self>) {
         let rows = std::mem::take(&mut *self.rows.lock().unwrap_or_else(PoisonError::into_inner));
         for (replica, version) in rows {
             if let Err(error) = self.store.remove_entry(self.entry, replica, version).await {
                 let copy = replica.number();
-                log::info!(copy, error:% = error; "this entry stays on a copy of the list");
+                log::info!(copy, error:% = error; "failed to remove this entry from a replica of the entry list");
             }
         }
     }
--- a/src/site_entry/mod.rs
+++ b/src/site_entry/mod.rs
@@ -1,4 +1,4 @@
-//! `rattanslip-entry` on a site: takes clients' jobs and drives the dispatcher.
+//! `rattanslip-entry` on a site: accepts clients' jobs and runs the dispatcher.
 
 mod client_api;
 mod dispatch_loop;
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -1,4 +1,4 @@
-//! Keeps what operators have set up to date.
+//! Follows the operators' rows (configuration document and evacuated zones) in the store.
 
 use {
     super::{
@@ -24,27 +24,26 @@
     tokio::sync::mpsc,
 };
 
-/// Longest wait for a change in one call, in milliseconds.
+/// Long-poll timeout of the change feed, in milliseconds.
 ///
-/// A connection that has gone silent is found half a second after it; a change must be in
-/// force two seconds after it was made.
+/// An unresponsive connection is detected half a second later, so that a change still applies
+/// within two seconds.
 const LONG_POLL_MS: u64 = 1_000;
-/// Answers by which the feed is followed behind; the store's history must reach as far back.
+/// Number of responses by which the feed cursor lags; the store's history must reach as far back.
 const FEED_LAG_RESPONSES: usize = 5;
-/// Pauses before all is read anew because the feed failed or has lost its history, in milliseconds; the first is
-/// doubled up to the last.
+/// Backoff before a full read after the feed failed or its history was discarded, in milliseconds.
 const INITIAL_REREAD_BACKOFF_MS: u64 = 100;
 const MAX_REREAD_BACKOFF_MS: u64 = 1_000;
 
-/// What is known of the operators' rows.
+/// Newest versions seen of the operators' rows.
 #[derive(Debug, Default)]
 pub(super) struct KnownRows {
     zones: Option<EvacuatedZones>,
-    /// Revision of the newest document; zero without one.
+    /// Revision of the newest document; zero if there is none.
     revision: u64,
 }
 
-/// Reads what operators have set, passes it on, and remembers the newest.
+/// Reads the operators' rows, forwards changes to the dispatcher and ignores stale ones.
 #[derive(Debug)]
 pub(super) struct OperatorRowsWatcher {
     pub(super) store: Arc<dyn SiteStore>,
@@ -56,7 +55,7 @@
 }
 
 impl OperatorRowsWatcher {
-    /// Follows the operators' rows for as long as the process lives.
+    /// Follows the operators' rows for the lifetime of the process.
     pub(super) async fn follow(self: Arc<Self>) {
         let mut health = StoreHealth::new("news", &self.decisions, &self.metrics);
         let mut backoff = Backoff::new(INITIAL_REREAD_BACKOFF_MS, MAX_REREAD_BACKOFF_MS);
@@ -77,7 +76,9 @@
         }
     }
 
-    /// Returns when the rows are to be read anew: feeds may fail while reads are answered.
+    /// Follows the change feed; returns when a full read is needed.
+    ///
+    /// The feed may fail while reads succeed.
     async fn follow_changes(&self, read_at: u64, health: &mut StoreHealth, backoff: &mut Backoff) {
         let mut cursor = FeedCursor::new(read_at, FEED_LAG_RESPONSES);
         loop {
@@ -145,7 +146,7 @@
         self.replace_zones(&mut known, EvacuatedZones { version, evacuated }, "store");
     }
 
-    /// Goes by news unless newer ones are known.
+    /// Applies evacuated zones unless newer ones are known.
     pub(super) fn apply_zones(&self, zones: EvacuatedZones, source: &'static str) {
         self.replace_zones(&mut self.known(), zones, source);
     }
@@ -156,7 +157,7 @@
             self.log_ignored("news", zones.version, known_version, source);
             return;
         }
-        // The loop ends only with the process.
+        // The loop runs as long as the process.
         let _ = self
             .inputs
             .send(LoopInput::Event(DispatchEvent::EvacuatedZones(
@@ -165,7 +166,7 @@
         known.zones = Some(zones);
     }
 
-    /// Goes by a document unless a newer one is known or it can't be read.
+    /// Applies a document unless a newer one is known or it is invalid.
     pub(super) fn apply_document(&self, document: Document, source: &'static str) {
         let mut known = self.known();
         if document.revision <= known.revision {
@@ -181,14 +182,14 @@
                 log_decision(&*self.decisions, LogPriority::Notable, &event);
             }
         }
-        // The loop ends only with the process.
+        // The loop runs as long as the process.
         let _ = self
             .inputs
             .send(LoopInput::Event(DispatchEvent::Document(document)));
     }
 
     fn apply_config(&self, config: SiteConfig, revision: u64, source: &'static str) {
-        // The document's own version never goes back in one process, whatever the store says.
+        // The configuration version never decreases within one process, even if a stale read shows an older one.
         if let Some(newer) = self
             .state
             .config()
@@ -227,7 +228,7 @@
         log_decision(&*self.decisions, LogPriority::Notable, &event);
     }
 
-    /// Notes what is older than what is known; the same again is the usual course.
+    /// Logs ignored stale rows; rows of the known version are routine and not logged.
     fn log_ignored(
         &self,
         what: &'static str,
--- a/src/site_entry/process_log_event.rs
+++ b/src/site_entry/process_log_event.rs
@@ -1,96 +1,96 @@
-//! What befalls a process as a whole, for the log.
+//! Log events of the process as a whole.
 
 use serde::Serialize;
 
-/// One event of the process.
+/// One JSON log event of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum ProcessLogEvent {
-    /// It has begun to serve.
+    /// The process started serving.
     Started {
-        /// Its version.
+        /// Version of the program.
         version: &'static str,
-        /// Its availability zone.
+        /// Availability zone of the process.
         availability_zone: String,
     },
-    /// It was told to end.
+    /// The process received a stop signal.
     Stopping {
-        /// Jobs or runs that are under way.
+        /// Unfinished jobs or runs.
         open: usize,
-        /// Time until it is killed.
+        /// Time until the process is killed.
         grace_ms: u64,
     },
-    /// It ends.
+    /// The process exits.
     Stopped {
-        /// Jobs or runs that were still under way.
+        /// Jobs or runs left unfinished.
         open: usize,
     },
-    /// Its settings file was named as changed.
+    /// The process received a reload signal.
     Reloaded {
-        /// What was made of it.
+        /// Result of the reload.
         outcome: &'static str,
     },
-    /// A client's call was turned away at the door.
+    /// A client's request was rejected before it became a job.
     CallRefused {
-        /// What it named: method, host and path.
+        /// Method, host and path of the request.
         call: String,
-        /// Why.
+        /// Reason of the rejection.
         reason: &'static str,
-        /// Version of the configuration that decided it; zero before the first.
+        /// Version of the configuration in force; zero before the first.
         config_version: u64,
     },
-    /// The store does not answer.
+    /// Calls to the store began to fail.
     StoreLost {
-        /// What was asked.
+        /// Kind of call.
         call: &'static str,
-        /// Why.
+        /// Error of the first failed call.
         cause: String,
     },
-    /// The store answers again.
+    /// Calls to the store succeed again.
     StoreRegained {
-        /// What was asked.
+        /// Kind of call.
         call: &'static str,
-        /// For how long it did not.
+        /// Duration of the outage.
         away_ms: u64,
     },
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     ConfigInForce {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
         /// Version of the document's row.
         revision: u64,
-        /// Its routes.
+        /// Number of routes.
         routes: usize,
-        /// Its services.
+        /// Number of services.
         services: usize,
-        /// Where it came from.
+        /// `store` or `agent`.
         source: &'static str,
     },
-    /// What operators have set was read from the store.
+    /// The operators' rows were read from the store.
     NewsRead {
-        /// Version of the store at which it was read.
+        /// Store version of the read.
         store_version: u64,
-        /// Version of the document's row; zero without one.
+        /// Version of the document's row; zero if there is none.
         revision: u64,
-        /// For how long it was read.
+        /// Duration of the read.
         took_ms: u64,
-        /// Length of the operators' document; zero without one.
+        /// Length of the operators' document; zero if there is none.
         document_bytes: usize,
     },
-    /// Something older than what is known was left aside.
+    /// A version older than the known one was ignored.
     NewsLeftAside {
-        /// What: `news`, `document` or `config`.
+        /// `news`, `document` or `config`.
         what: &'static str,
-        /// Its version: of the store, of the document's row, or the document's own.
+        /// Ignored version: of the store, of the document's row, or of the configuration.
         version: u64,
-        /// The version that is known.
+        /// Known version.
         known_version: u64,
-        /// Where it came from.
+        /// `store` or `agent`.
         source: &'static str,
     },
-    /// A configuration can't be read; the one before stays in force.
+    /// A configuration is invalid; the previous one stays in force.
     ConfigUnreadable {
-        /// Why.
+        /// Parse error.
         cause: String,
     },
 }
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -1,4 +1,4 @@
-//! Wires an entry together and runs it until it is told to stop.
+//! Assembles an entry and runs it until a stop signal.
 
 use {
     super::{
@@ -37,15 +37,15 @@
     },
 };
 
-/// Time for the balancer to send new connections elsewhere, in milliseconds: two probes, a second
-/// apart, and one more second.
+/// Time for the load balancer to route new connections to other entries, in milliseconds: two
+/// probes, a second apart, and one second of slack.
 const BALANCER_DRAIN_MS: u64 = 3_000;
-/// Time before the process is killed at which it ends by itself, in milliseconds.
+/// Margin between the process's own exit and the end of the stop grace period, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 400;
-/// Pause between looks at whether all jobs have ended, in milliseconds.
+/// Interval at which unfinished jobs are polled on shutdown, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 50;
 
-/// What the parts of an entry share.
+/// State that the components of an entry share.
 struct Shared {
     process: SiteProcess,
     state: Arc<EntryState>,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Serves clients, the balancer and whoever reads the metrics, until `stopped` turns true.
+/// Serves clients, readiness probes and metrics until `stopped` turns true.
 async fn serve_http_endpoints(
     settings: &SiteEntrySettings,
     shared: &Shared,
@@ -134,7 +134,7 @@
     shared.process.serve_metrics(&settings.site, stopped).await
 }
 
-/// Runs until the process is told to stop and its jobs have ended.
+/// Runs an entry until it is stopped and its jobs have finished.
 pub(crate) async fn run_site_entry(settings: SiteEntrySettings) -> Result<(), RunError> {
     let (inputs, input_receiver) = mpsc::unbounded_channel();
     let (link_sender, links) = mpsc::unbounded_channel();
@@ -174,7 +174,7 @@
     Ok(())
 }
 
-/// A planned stop.
+/// Shutdown after a stop signal.
 struct GracefulShutdown {
     grace_ms: u64,
     shared: Shared,
@@ -195,7 +195,7 @@
         open_jobs.await.unwrap_or(0)
     }
 
-    /// Serves on until the balancer sends clients elsewhere and all jobs have their answers.
+    /// Keeps serving until the load balancer routes clients elsewhere and all jobs are replied to.
     async fn run(self) {
         let started_at = Instant::now();
         let open = self.open_jobs().await;
@@ -204,7 +204,7 @@
             grace_ms: self.grace_ms,
         });
         self.shared.state.set_leaving();
-        // The loop ends only with the process.
+        // The loop runs as long as the process.
         let _ = self
             .shared
             .inputs
@@ -217,7 +217,7 @@
         while Instant::now() < deadline && self.open_jobs().await > 0 {
             sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
-        // Answers that were just given are still on their way out.
+        // Leaves time to write the last replies to their sockets.
         sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         let open = self.open_jobs().await;
         self.shared
--- a/src/site_entry/site_process.rs
+++ b/src/site_entry/site_process.rs
@@ -1,4 +1,4 @@
-//! What entries and agents on a site have in common.
+//! Components that entries and agents on a site have in common.
 
 use {
     super::{process_log_event::ProcessLogEvent, status_handlers::MetricsHandler},
@@ -17,7 +17,7 @@
     tokio::sync::watch,
 };
 
-/// Where a process counts and writes down what it does, and how it reaches the platform.
+/// Metrics, log and platform access of one process.
 #[derive(Debug)]
 pub(crate) struct SiteProcess {
     pub(crate) caller: PlatformCaller,
@@ -27,7 +27,7 @@
 }
 
 impl SiteProcess {
-    /// The process that has these settings.
+    /// Creates the components from the settings.
     pub(crate) fn new(site: &SiteSettings) -> Result<Self, RunError> {
         let metrics = OtelMetrics::new().map_err(RunError::metrics)?;
         let writer = DecisionWriter::start(&site.name).map_err(RunError::Runtime)?;
@@ -54,12 +54,10 @@
         Ok(())
     }
 
-    /// Writes a change of the process itself down.
     pub(crate) fn log_event(&self, event: &ProcessLogEvent) {
         log_decision(&*self.decisions, LogPriority::Notable, event);
     }
 
-    /// Writes down that the process has begun.
     pub(crate) fn log_started(&self, site: &SiteSettings) {
         self.log_event(&ProcessLogEvent::Started {
             version: env!("CARGO_PKG_VERSION"),
--- a/src/site_entry/state.rs
+++ b/src/site_entry/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! State that the components of an entry share.
 
 use {
     crate::core::routes::SiteConfig,
@@ -8,7 +8,7 @@
     },
 };
 
-/// The configuration in force, and whether the entry is ready.
+/// Configuration in force, and the inputs of the readiness probe.
 #[derive(Debug, Default)]
 pub(super) struct EntryState {
     config: RwLock<Option<Arc<SiteConfig>>>,
@@ -17,7 +17,7 @@
 }
 
 impl EntryState {
-    /// The configuration in force, if any has been read.
+    /// Returns the configuration in force, if any has been read.
     pub(super) fn config(&self) -> Option<Arc<SiteConfig>> {
         self.config
             .read()
@@ -25,28 +25,28 @@
             .clone()
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the configuration in force.
     pub(super) fn set_config(&self, config: SiteConfig) {
         let mut current = self.config.write().unwrap_or_else(PoisonError::into_inner);
         *current = Some(Arc::new(config));
     }
 
-    /// Notes whether some worker can take tasks.
+    /// Records whether some worker accepts tasks.
     pub(super) fn set_has_workers(&self, has_workers: bool) {
         self.has_workers.store(has_workers, Ordering::Relaxed);
     }
 
-    /// Notes that the process is to end.
+    /// Records that the process is shutting down.
     pub(super) fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the process is to end.
+    /// Whether the process is shutting down.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Whether new clients should come here.
+    /// Whether the load balancer should route new clients to this entry.
     pub(super) fn is_ready(&self) -> bool {
         self.config().is_some() && self.has_workers.load(Ordering::Relaxed) && !self.is_leaving()
     }
--- a/src/site_entry/status_handlers.rs
+++ b/src/site_entry/status_handlers.rs
@@ -1,4 +1,4 @@
-//! Answers to the balancer's probes and to whoever reads metrics.
+//! HTTP handlers for the load balancer's readiness probe and for metrics.
 
 use {
     super::state::EntryState,
@@ -11,10 +11,9 @@
     std::sync::Arc,
 };
 
-/// Path of metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Tells the balancer whether this entry is ready.
+/// Reports to the load balancer whether this entry is ready.
 #[derive(Debug)]
 pub(super) struct ReadinessHandler {
     pub(super) state: Arc<EntryState>,
@@ -31,10 +30,9 @@
     }
 }
 
-/// Shows a process's metrics.
+/// Serves a process's metrics.
 #[derive(Debug)]
 pub(crate) struct MetricsHandler {
-    /// The metrics.
     pub(crate) metrics: Arc<dyn Metrics>,
 }
 
--- a/src/site_entry/store_health.rs
+++ b/src/site_entry/store_health.rs
@@ -1,4 +1,4 @@
-//! Tells when calls of one kind to the store begin to fail and when they work again.
+//! Logs when calls of one kind to the store begin to fail and when they succeed again.
 
 use {
     super::process_log_event::ProcessLogEvent,
@@ -9,13 +9,13 @@
     std::{sync::Arc, time::Instant},
 };
 
-/// Pauses after calls that failed, in milliseconds; the first is doubled up to the last.
+/// Backoff after failed calls, in milliseconds.
 ///
-/// Eight entries that lost the store together make some 20 calls a second on its return, of the 800 or more that it takes.
+/// At the maximum, eight entries make some 20 calls a second, far below the store's capacity.
 const INITIAL_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 400;
 
-/// A dependency that may be away.
+/// Availability of the store for one kind of call.
 #[derive(Debug)]
 pub(super) struct StoreHealth {
     call: &'static str,
@@ -26,7 +26,7 @@
 }
 
 impl StoreHealth {
-    /// Watches calls that logs name so.
+    /// Creates the state of one kind of call; `call` is its name in logs.
     pub(super) fn new(
         call: &'static str,
         decisions: &Arc<dyn DecisionLog>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Notes a call that was answered.
+    /// Records a successful call.
     pub(super) fn record_success(&mut self) {
         self.metrics.count(Counter::StoreCalls, "answered");
         self.backoff.reset();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Notes a call that failed, and waits before the next one.
+    /// Records a failed call, and waits before the next one.
     pub(super) async fn record_failure(&mut self, error: &StoreError) {
         let outcome = match error {
             StoreError::Unavailable(_) => "unavailable",
--- a/src/site_entry/tests/config_changes.rs
+++ b/src/site_entry/tests/config_changes.rs
@@ -1,5 +1,5 @@
-//! Tests of the promise of the configuration: a change that was acknowledged is in force at every entry in touch in
-//! time, and none goes back.
+//! Tests of the configuration guarantee: an acknowledged change is in force at every connected entry in
+//! time, and no entry reverts to an older version.
 
 use {
     super::site::{SiteEvent, SitePlan, SiteSimulation, StoreFault},
@@ -9,11 +9,11 @@
 
 const NARROW_LINK_MBIT_PER_S: u64 = 25;
 const WIDE_LINK_MBIT_PER_S: u64 = 200;
-/// Lengths of documents of a few and of some thousand routes.
+/// Documents of a few routes and of some thousand routes.
 const SMALL_DOCUMENT_BYTES: usize = 10_000;
 const LARGE_DOCUMENT_BYTES: usize = 830_000;
 const SEED_COUNT: u64 = 12;
-/// Most calls that an entry makes to the store in a second, on the average of a day.
+/// Maximum rate of one entry's calls to the store, averaged over the simulation.
 const MAX_STORE_CALLS_PER_S: u64 = 10;
 
 fn site_plan(events: Vec<(u64, SiteEvent)>) -> SitePlan {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Changes of documents that grow up to this length.
+/// Configuration changes whose documents grow up to the given length.
 fn growing_documents(bytes: usize) -> Vec<(u64, SiteEvent)> {
     let sizes = [
         (5_000, bytes / 2),
@@ -72,20 +72,17 @@
 }
 
 change_cases! {
-    /// Guards against copies of a large document that fill an entry's link, so that it does not read the next change.
+    /// Copies of a large document must not saturate an entry's link and delay the next change.
     a_large_document_is_applied_in_time_at_entries_with_narrow_links: [];
-    /// Guards against an entry that goes on waiting on a feed that fails, although the rows can be read.
+    /// The rows can be read while the feed fails.
     a_change_is_applied_in_time_after_feeds_failed: [(8_500, store_fault(StoreFault::FeedsFail, 3_000))];
-    /// Guards against a change that feeds leave out.
     a_change_is_applied_in_time_after_feeds_missed_it: [(8_500, store_fault(StoreFault::FeedsMissChanges, 1_000))];
-    /// Guards against a change that nothing follows and that is never asked for again.
+    /// No later change triggers a read of a missed one.
     the_last_change_is_applied_in_time_after_feeds_missed_it: [(13_500, store_fault(StoreFault::FeedsMissChanges, 2_500))];
-    /// Guards against an entry that reads nothing while feeds fail for long.
     the_last_change_is_applied_in_time_after_feeds_failed: [(14_500, store_fault(StoreFault::FeedsFail, 3_000))];
-    /// Guards against an older state that is kept once reads are no longer stale.
+    /// A stale state must be replaced once reads are current again.
     the_last_change_is_applied_in_time_after_stale_reads:
         [(14_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (15_100, SiteEvent::ForgetHistory)];
-    /// Guards against an entry that takes an older state for the newest one.
     a_change_is_applied_in_time_after_stale_reads:
         [(8_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (9_100, SiteEvent::ForgetHistory)];
     a_change_is_applied_in_time_after_history_is_discarded: [(9_010, SiteEvent::ForgetHistory)];
@@ -93,10 +90,10 @@
     a_change_is_applied_in_time_after_an_unresponsive_store: [(8_500, store_fault(StoreFault::Unresponsive, 4_500))];
     a_change_is_applied_in_time_after_the_store_refused_calls: [(8_500, store_fault(StoreFault::RefusesAll, 4_500))];
     a_change_is_applied_in_time_after_lost_responses: [(8_500, store_fault(StoreFault::DropsResponses(3), 4_500))];
-    /// Guards against entries that learn of a change only from a store that turns them away.
+    /// Entries that the store refuses receive the change from agents.
     a_change_is_applied_in_time_at_entries_that_the_store_refuses:
         [(4_500, store_fault(StoreFault::RefusesSome(3, 1), 15_000))];
-    /// Guards against agents that know of a change but can't hand it on, their first holders being gone.
+    /// The first agents that received a change restart before they forward it to all entries.
     a_change_is_forwarded_while_agents_restart: [
         (4_500, store_fault(StoreFault::RefusesSome(3, 1), 15_000)),
         (9_300, SiteEvent::StopAgent { agent: 0, down_ms: 6_000 }),
@@ -114,7 +111,7 @@
     ];
 }
 
-/// Guards against sessions that are lost because a document goes before their beats.
+/// A large document must not delay heartbeats until the session times out.
 #[tokio::test(start_paused = true)]
 async fn a_large_document_disconnects_no_session() {
     let mut site = SiteSimulation::start(site_plan(growing_documents(LARGE_DOCUMENT_BYTES)));
@@ -122,7 +119,7 @@
     assert_eq!(site.sessions_lost(), 0);
 }
 
-/// Guards against calls without a pause while reads show a state whose history is gone.
+/// A stale read whose history is discarded must not cause a busy loop of reads.
 #[tokio::test(start_paused = true)]
 async fn discarded_history_is_not_requested_without_backoff() {
     let mut events = vec![
@@ -148,7 +145,7 @@
     );
 }
 
-/// A fault of any kind.
+/// Returns a random fault or zone change.
 fn random_event(rng: &mut ChaCha8Rng, plan: &SitePlan) -> SiteEvent {
     let (entry, agent) = (
         rng.random_range(0..plan.entry_links.len()),
@@ -203,7 +200,7 @@
     plan
 }
 
-/// Guards against faults of store, entries and agents that overlap.
+/// Faults of the store, entries and agents may overlap.
 #[tokio::test(start_paused = true)]
 async fn changes_are_applied_in_time_under_random_faults() {
     for seed in 0..SEED_COUNT {
@@ -212,9 +209,9 @@
     }
 }
 
-/// `RATTANSLIP_SEEDS=FIRST..END cargo test --release --lib more_site_seeds -- --ignored` plays others.
+/// `RATTANSLIP_SEEDS=FIRST..END cargo test --release --lib more_site_seeds -- --ignored` runs other seeds.
 #[tokio::test(start_paused = true)]
-#[ignore = "plays hundreds of seeds by hand"]
+#[ignore = "runs hundreds of seeds; started by hand"]
 async fn more_site_seeds_on_demand() {
     let range = std::env::var("RATTANSLIP_SEEDS").unwrap_or_else(|_| "1000..1200".to_owned());
     let (first, end) = range.split_once("..").expect("FIRST..END");
--- a/src/site_entry/tests/events.rs
+++ b/src/site_entry/tests/events.rs
@@ -1,6 +1,6 @@
-//! Tests that the operators' page names what is written down.
+//! Checks that the operations page documents every log event.
 
-/// Every event of an entry, an agent, and a process as a whole.
+/// Every log event of an entry, an agent, and a process as a whole.
 const EVENTS: [&str; 40] = [
     "job_taken",
     "job_refused",
--- a/src/site_entry/tests/fakes.rs
+++ b/src/site_entry/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes of the ports.
+//! Fake implementations of the ports.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     std::net::SocketAddr,
 };
 
-/// Counts nothing.
+/// Discards all metrics.
 #[derive(Debug)]
 pub(super) struct NoopMetrics;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Writes nothing down.
+/// Discards all log lines.
 #[derive(Debug)]
 pub(super) struct NoopDecisionLog;
 
@@ -37,7 +37,7 @@
     fn write(&self, _: LogPriority, _: Value) {}
 }
 
-/// A store that never answers.
+/// A store whose calls all fail.
 #[derive(Debug)]
 pub(super) struct UnavailableStore;
 
--- a/src/site_entry/tests/mod.rs
+++ b/src/site_entry/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of an entry's parts against fakes.
+//! Tests of an entry's components against fakes.
 
 mod config_changes;
 mod events;
--- a/src/site_entry/tests/operator_rows.rs
+++ b/src/site_entry/tests/operator_rows.rs
@@ -1,4 +1,4 @@
-//! Tests of which news an entry goes by.
+//! Tests of which operators' rows an entry applies.
 
 use {
     super::fakes::{NoopDecisionLog, NoopMetrics, UnavailableStore},
@@ -14,7 +14,7 @@
     tokio::sync::mpsc,
 };
 
-/// What is told at one version of the store, with a configuration of this version or without one.
+/// Operators' rows at one store version, with a configuration of the given version or without one.
 fn operator_rows(version: u64, config_version: Option<u64>) -> OperatorRows {
     let text = config_version.map(|version| format!(r#"{{"version":{version}}}"#));
     OperatorRows {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Takes these in turn; the version of the configuration that is then in force.
+/// Applies the reads in order; returns the version of the configuration then in force.
 fn in_force_after(reads: &[OperatorRows]) -> Option<u64> {
     let state = Arc::new(EntryState::default());
     let (inputs, _input_receiver) = mpsc::unbounded_channel();
@@ -66,9 +66,8 @@
     a_newer_document_is_applied: [operator_rows(5, Some(3)), operator_rows(6, Some(7))] => Some(7);
     older_rows_are_ignored: [operator_rows(6, Some(7)), operator_rows(5, Some(3))] => Some(7);
     an_older_config_at_a_newer_store_version_is_ignored: [operator_rows(5, Some(7)), operator_rows(6, Some(3))] => Some(7);
-    /// A client gets 404 on a route that was added three seconds ago. The store had turned this entry
-    /// away; an agent told it of the change without the document; when the store answered again,
-    /// the document came with the version that was known already and was left aside.
+    /// An agent may report a store version without the document; the later read of the document at
+    /// that version must not be ignored, or clients get 404 on new routes.
     a_document_is_applied_although_its_store_version_is_known:
         [operator_rows(8, Some(14)), operator_rows(9, None), operator_rows(9, Some(17))] => Some(17);
 }
--- a/src/site_entry/tests/site/agent_model.rs
+++ b/src/site_entry/tests/site/agent_model.rs
@@ -1,4 +1,4 @@
-//! One agent: the executor as shipped, without a worker.
+//! Agent of the simulation: the production executor without a worker.
 
 use {
     super::{HostModel, paused_timer::PausedTimer},
@@ -21,7 +21,7 @@
 
 const TICK_MS: u64 = 20;
 
-/// Something for an agent.
+/// Input of an agent.
 #[derive(Debug)]
 pub(super) enum AgentInput {
     Event(ExecutionEvent),
@@ -32,7 +32,7 @@
     },
 }
 
-/// Feeds an executor for as long as its process lives.
+/// Passes inputs and ticks to an executor until the input channel closes.
 pub(super) async fn run_agent(
     name: String,
     host: Arc<HostModel>,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Both ends of a session whose frames cross two links.
+/// Returns both ends of a session whose frames cross the links of two hosts.
 pub(super) fn connect(
     entry: &Arc<HostModel>,
     agent: &Arc<HostModel>,
@@ -100,7 +100,7 @@
     let (to_agent, agent_incoming) = mpsc::channel(256);
     let (entry, agent) = (Arc::clone(entry), Arc::clone(agent));
     spawn(Box::pin(async move {
-        // Either end closes the session.
+        // Either end may close the session.
         tokio::select! {
             () = relay_frames(Arc::clone(&entry), Arc::clone(&agent), entry_frames, to_agent) => {}
             () = relay_frames(agent, entry, agent_frames, to_entry) => {}
--- a/src/site_entry/tests/site/entry_model.rs
+++ b/src/site_entry/tests/site/entry_model.rs
@@ -1,4 +1,4 @@
-//! One entry: its loops as shipped, in a host that may stop and start.
+//! Entry of the simulation: the production loops on a host that may stop and start.
 
 use {
     super::{
@@ -27,7 +27,7 @@
     tokio::{sync::mpsc, task::JoinSet, time::Instant},
 };
 
-/// Remembers the zones that an entry takes as out.
+/// Records the evacuated zones that an entry logs.
 #[derive(Debug, Default)]
 struct EvacuatedZonesLog(Mutex<BTreeSet<String>>);
 
@@ -40,15 +40,15 @@
     }
 }
 
-/// One life of an entry's process.
+/// One start of an entry's process.
 #[derive(Debug)]
 pub(super) struct EntryIncarnation {
-    /// Ends with the life.
+    /// Aborted when the incarnation is dropped.
     tasks: Arc<Mutex<JoinSet<()>>>,
     state: Arc<EntryState>,
     zones_log: Arc<EvacuatedZonesLog>,
     pub(super) link_sender: mpsc::UnboundedSender<AgentLink>,
-    /// The highest version of the configuration that was in force.
+    /// Highest configuration version seen by the checks so far.
     pub(super) highest_version: u64,
 }
 
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Runs a task for as long as the process lives.
+    /// Runs a task until the process stops.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.lock().expect("lock").spawn(task);
     }
 
-    /// Version of the configuration in force; zero before the first.
+    /// Returns the version of the configuration in force; zero before the first.
     pub(super) fn config_version(&self) -> u64 {
         self.state.config().map_or(0, |config| config.version)
     }
--- a/src/site_entry/tests/site/host_model.rs
+++ b/src/site_entry/tests/site/host_model.rs
@@ -1,4 +1,4 @@
-//! A host and its link.
+//! Host of the simulation and its network link.
 
 use {
     std::{
@@ -8,12 +8,12 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// Most bytes under way on one connection.
+/// Maximum bytes in flight on one connection.
 const WINDOW_BYTES: usize = 64 << 10;
-/// Time from one host to another.
+/// One-way latency.
 const LINK_DELAY: Duration = Duration::from_millis(1);
 
-/// A host's link: what leaves shares its bandwidth, and so does what arrives.
+/// A host with a full-duplex link; connections share the bandwidth of each direction.
 #[derive(Debug)]
 pub(in crate::site_entry::tests) struct HostModel {
     bytes_per_ms: u64,
@@ -22,14 +22,14 @@
 
 #[derive(Debug)]
 struct HostState {
-    /// When all that waits to leave has left, and all that was sent here has arrived.
+    /// When the outbound and the inbound queue are empty.
     idle_at: [Instant; 2],
     frozen_until: Instant,
-    /// When the host was last disturbed.
+    /// When the host last started, stopped or thawed.
     disturbed_at: Instant,
 }
 
-/// Position of a direction in the times at which the link is idle.
+/// Indexes into `HostState::idle_at`.
 const OUTBOUND: usize = 0;
 const INBOUND: usize = 1;
 
@@ -50,7 +50,7 @@
         self.state.lock().expect("lock")
     }
 
-    /// When bytes that are sent now have passed the link.
+    /// Queues bytes on the link; returns when they have passed it.
     fn reserve_link(&self, direction: usize, bytes: usize) -> Instant {
         let mut state = self.state();
         let starts_at = state.idle_at[direction].max(Instant::now());
@@ -59,7 +59,7 @@
         state.idle_at[direction]
     }
 
-    /// Sends bytes to another host, a window at a time.
+    /// Sends bytes to another host, one window at a time.
     pub(super) async fn send(&self, to: &Self, bytes: usize) {
         self.wait_while_frozen().await;
         for window in windows(bytes) {
@@ -69,14 +69,14 @@
         to.wait_while_frozen().await;
     }
 
-    /// Receives a window of bytes from the store; the acknowledgement of each waits behind what leaves.
+    /// Receives a window of bytes from the store; its acknowledgement waits for the outbound queue.
     pub(super) async fn receive(&self, bytes: usize) {
         sleep_until(self.reserve_link(INBOUND, bytes) + LINK_DELAY).await;
         sleep_until(self.reserve_link(OUTBOUND, 0) + LINK_DELAY).await;
         self.wait_while_frozen().await;
     }
 
-    /// Waits until the host is at work.
+    /// Waits until the host is not frozen.
     pub(super) async fn wait_while_frozen(&self) {
         loop {
             let frozen_until = self.state().frozen_until;
@@ -99,14 +99,14 @@
         state.disturbed_at = state.disturbed_at.max(Instant::now());
     }
 
-    /// For how long the host has not been disturbed.
+    /// Time since the host last started, stopped or thawed.
     pub(super) fn undisturbed_for(&self) -> Duration {
         let disturbed_at = self.state().disturbed_at;
         Instant::now().saturating_duration_since(disturbed_at)
     }
 }
 
-/// Sizes of the windows in which so many bytes cross.
+/// Splits a number of bytes into window sizes.
 pub(super) fn windows(bytes: usize) -> impl Iterator<Item = usize> {
     (0..bytes.max(1))
         .step_by(WINDOW_BYTES)
--- a/src/site_entry/tests/site/mod.rs
+++ b/src/site_entry/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! A site in simulated time: entries and agents as shipped, over modelled links and a modelled store.
+//! Simulation of a site on a paused clock: production entries and agents with a model of links and store.
 
 mod agent_model;
 mod entry_model;
--- a/src/site_entry/tests/site/paused_timer.rs
+++ b/src/site_entry/tests/site/paused_timer.rs
@@ -1,4 +1,4 @@
-//! The timer service on the paused clock of a test.
+//! Timer service on the paused clock of a test.
 
 use {
     super::HostModel,
@@ -7,7 +7,7 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// A host's clock; its ticks stop while the host is frozen.
+/// A host's clock, without ticks while the host is frozen.
 #[derive(Debug, Clone)]
 pub(super) struct PausedTimer {
     pub(super) host: Arc<HostModel>,
--- a/src/site_entry/tests/site/site_simulation.rs
+++ b/src/site_entry/tests/site/site_simulation.rs
@@ -1,4 +1,4 @@
-//! The whole site, what happens to it, and the promise that is checked meanwhile.
+//! The simulated site, its scheduled events and the invariants checked at each step.
 
 use {
     super::{
@@ -30,26 +30,26 @@
     },
 };
 
-/// Time after its acknowledgement in which a change must be in force, and a zone must be out.
+/// Time after its acknowledgement within which a change must apply.
 const CONFIG_APPLY_LIMIT: Duration = Duration::from_millis(3_000);
 const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
-/// Time for which host and store must have been calm for these bounds to hold.
+/// Time without faults of host and store after which these limits hold.
 const CALM_PERIOD: Duration = Duration::from_millis(4_000);
-/// What is added to the bounds where the store turns some hosts away.
+/// Added to the limits while the store refuses some hosts.
 const PARTIAL_OUTAGE_EXTRA_TIME: Duration = Duration::from_millis(6_000);
 const STEP_MS: u64 = 20;
 const DIAL_INTERVAL_MS: u64 = 50;
 const AGENT_MBIT_PER_S: u64 = 1_000;
 
-/// Something that happens to a site.
+/// Scheduled event of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::site_entry::tests) enum SiteEvent {
-    /// The operator sets a document of this version and length.
+    /// The operator writes a configuration document of this version and length.
     Config {
         version: u64,
         bytes: usize,
     },
-    /// The operator takes a zone out, or back.
+    /// The operator evacuates or restores a zone.
     Zone {
         is_evacuated: bool,
     },
@@ -78,13 +78,13 @@
     },
 }
 
-/// A site and its day.
+/// Topology and schedule of a simulation.
 #[derive(Debug)]
 pub(in crate::site_entry::tests) struct SitePlan {
-    /// Links of the entries, in Mbit/s.
+    /// Bandwidth of each entry's link, in Mbit/s.
     pub(in crate::site_entry::tests) entry_links: Vec<u64>,
     pub(in crate::site_entry::tests) agents: usize,
-    /// Times in milliseconds.
+    /// Events by time in milliseconds.
     pub(in crate::site_entry::tests) events: Vec<(u64, SiteEvent)>,
     pub(in crate::site_entry::tests) end_ms: u64,
 }
@@ -110,7 +110,7 @@
     end_ms: u64,
     configs: Vec<(Instant, u64)>,
     zones: Vec<(Instant, BTreeSet<String>)>,
-    /// Promises that were broken.
+    /// Violated invariants.
     pub(in crate::site_entry::tests) violations: Vec<String>,
 }
 
@@ -120,7 +120,7 @@
 }
 
 impl SiteSimulation {
-    /// Starts a site whose first configuration has version one.
+    /// Starts a site whose first configuration has version 1.
     pub(in crate::site_entry::tests) fn start(plan: SitePlan) -> Self {
         let hosts = |links: Vec<u64>| -> Vec<Arc<HostModel>> {
             links
@@ -154,7 +154,7 @@
         site
     }
 
-    /// Plays the day, or up to the first broken promise.
+    /// Runs to the end of the schedule or to the first violation.
     pub(in crate::site_entry::tests) async fn run(&mut self) {
         for now_ms in (0..self.end_ms).step_by(STEP_MS as usize) {
             while self
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Sessions that agents have lost.
+    /// Number of disconnected sessions.
     pub(in crate::site_entry::tests) fn sessions_lost(&self) -> u64 {
         self.shared.sessions_lost.load(Ordering::Relaxed)
     }
 
-    /// Calls of all hosts to the store.
+    /// Number of calls from all hosts to the store.
     pub(in crate::site_entry::tests) fn store_calls(&self) -> u64 {
         self.shared.store.calls()
     }
@@ -278,7 +278,7 @@
 }
 
 impl Shared {
-    /// What is added to the bounds for an entry at this moment; none where they don't hold.
+    /// Returns the time currently added to an entry's limits, or none where the limits don't hold.
     fn extra_time(&self, entry: usize) -> Option<Duration> {
         if self.entry_hosts[entry].undisturbed_for() < CALM_PERIOD {
             None
@@ -309,7 +309,7 @@
         Some(agent_end)
     }
 
-    /// Keeps a session of an agent with an entry.
+    /// Connects an agent to an entry, and reconnects after each disconnect.
     async fn maintain_session(
         self: Arc<Self>,
         agent: usize,
--- a/src/site_entry/tests/site/store_model.rs
+++ b/src/site_entry/tests/site/store_model.rs
@@ -1,4 +1,4 @@
-//! The platform's store as one host reaches it.
+//! Model of the platform's store with injected faults.
 
 use {
     super::host_model::{HostModel, windows},
@@ -21,43 +21,43 @@
     },
 };
 
-/// Time that a call takes.
+/// Latency of a call without faults.
 const CALL_MS: u64 = 4;
-/// Zone that the operator takes out.
+/// Zone that the operator evacuates.
 pub(super) const ZONE: &str = "north";
-/// Time after which a caller gives up.
+/// Timeout of a read.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 const FEED_TIMEOUT_SLACK_MS: u64 = 500;
 
-/// What the store does wrong.
+/// Fault injected into the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::site_entry::tests) enum StoreFault {
-    /// Calls take this many times as long.
+    /// Multiplies the latency of calls.
     Slow(u64),
-    /// No call is answered.
+    /// No call gets a response.
     Unresponsive,
     /// Every call is refused.
     RefusesAll,
-    /// One call in so many is answered; the others stay silent.
+    /// Only one call in this many gets a response.
     DropsResponses(u64),
     /// Feeds fail.
     FeedsFail,
-    /// Feeds say that nothing has changed.
+    /// Feeds report no change.
     FeedsMissChanges,
-    /// Reads show the rows as they were so long ago, in milliseconds.
+    /// Reads return the rows of this many milliseconds ago.
     StaleReads(u64),
-    /// Hosts whose number modulo the first is the second are refused.
+    /// Refuses hosts whose number modulo the first value equals the second.
     RefusesSome(usize, usize),
 }
 
 impl StoreFault {
-    /// Whether only some hosts are turned away, and the others served.
+    /// Whether the fault affects only some hosts.
     pub(super) const fn is_partial(self) -> bool {
         matches!(self, Self::RefusesSome(..))
     }
 }
 
-/// The operators' rows from one moment on.
+/// The operators' rows as of one write.
 #[derive(Debug, Clone)]
 struct Rows {
     since: Instant,
@@ -67,18 +67,17 @@
 #[derive(Debug)]
 struct StoreState {
     rows: Vec<Rows>,
-    /// History is kept after this version only.
+    /// Changes up to this version are discarded from the history.
     history_after: u64,
     faults: BTreeMap<StoreFault, Instant>,
-    /// Calls that reached the store, and those among them of which an answer might be lost.
     calls: u64,
+    /// Calls made while responses are dropped.
     responses: u64,
-    /// When all hosts, and when some hosts, were last not served as usual.
+    /// When the last fault of all hosts, or of some hosts, ended or will end.
     disturbed_at: Instant,
     partly_disturbed_at: Instant,
 }
 
-/// The store.
 #[derive(Debug)]
 pub(super) struct StoreModel {
     state: Mutex<StoreState>,
@@ -123,10 +122,10 @@
         self.state().rows.last().expect("rows").rows.clone()
     }
 
-    /// Writes as the operator, who is always served.
+    /// Writes as the operator, whom no fault affects.
     fn write(&self, change: impl FnOnce(&mut OperatorRows)) {
         let mut rows = self.newest();
-        // Rows of other tables count as well.
+        // Writes to other tables advance the store version, too.
         rows.zones.version += 3;
         change(&mut rows);
         let since = Instant::now();
@@ -165,7 +164,7 @@
         }
     }
 
-    /// For how long all hosts were served, or at least some.
+    /// Time since the last fault; `partly` ignores faults that affect only some hosts.
     pub(super) fn undisturbed_for(&self, partly: bool) -> Duration {
         let state = self.state();
         let disturbed_at = if partly {
@@ -183,14 +182,14 @@
         active.map(|(fault, _)| *fault).collect()
     }
 
-    /// Whether the next answer is lost, where one in so many is not.
+    /// Whether the response to the next call is dropped; one in `of` is not.
     fn drops_response(&self, of: u64) -> bool {
         let mut state = self.state();
         state.responses += 1;
         !state.responses.is_multiple_of(of)
     }
 
-    /// The rows that a read shows.
+    /// Returns the rows that a read sees.
     fn read(&self) -> OperatorRows {
         let stale_ms = self.faults().into_iter().find_map(|fault| match fault {
             StoreFault::StaleReads(ms) => Some(ms),
@@ -203,7 +202,7 @@
     }
 }
 
-/// The store as a host calls it.
+/// Client of the store on one host.
 #[derive(Debug)]
 pub(super) struct StoreClient {
     pub(super) store: Arc<StoreModel>,
@@ -216,12 +215,12 @@
 }
 
 fn response_bytes(document: Option<&Document>) -> usize {
-    // Values cross in base64.
+    // Values are base64-encoded.
     document.map_or(100, |document| 100 + document.text.len() * 4 / 3)
 }
 
 impl StoreClient {
-    /// Waits as the store's faults say.
+    /// Delays or fails a call according to the active faults.
     async fn apply_faults(&self) -> Result<(), StoreError> {
         self.host.wait_while_frozen().await;
         self.store.state().calls += 1;
@@ -242,7 +241,7 @@
         Ok(())
     }
 
-    /// Gives up an answer that does not begin in time.
+    /// Times out a call whose response does not begin in time.
     async fn with_timeout<T>(
         &self,
         timeout_ms: u64,
