--- a/src/site_agent/mod.rs
+++ b/src/site_agent/mod.rs
@@ -1,9 +1,9 @@
-//! `rattanslip-agent` on a site: drives the executor beside one worker.
+//! `rattanslip-agent` on a site: runs the executor next to one worker.
 
 mod dialler;
 mod execution_loop;
 mod run;
-mod worker_ear;
-mod worker_memory;
+mod worker_report_handler;
+mod worker_view_store;
 
 pub(crate) use run::run_site_agent;
--- a/src/site_entry/tests/mod.rs
+++ b/src/site_entry/tests/mod.rs
@@ -1,7 +1,7 @@
-//! Tests of an entry's parts against fakes.
+//! Tests of an entry's components against fakes.
 
 mod config_changes;
 mod events;
 mod fakes;
-mod news;
+mod operator_rows;
 mod site;
