--- a/src/adapters/http/agent_api.rs
+++ b/src/adapters/http/agent_api.rs
@@ -58,11 +58,11 @@
 #[handler]
 fn announce(api: Api<'_>, Json(body): Json<BackendBody>) -> StatusCode {
     if body.leaving {
-        api.agent.backend_gone();
+        api.agent.remove_backend();
         return StatusCode::OK;
     }
     api.backend.set_addr(body.addr);
-    api.agent.backend_up(body.services, body.slots);
+    api.agent.register_backend(body.services, body.slots);
     StatusCode::OK
 }
 
--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -25,7 +25,7 @@
 };
 
 /// Silence after which a backend server counts as gone, in milliseconds.
-const BACKEND_SILENT_MS: u64 = 3_000;
+const BACKEND_TIMEOUT_MS: u64 = 3_000;
 
 /// Sends to the loops of home and runner.
 #[derive(Debug)]
@@ -41,15 +41,18 @@
     pub(crate) slots_limit: u16,
     /// Wakes the announcer before its next tick.
     pub(crate) announce_now: Notify,
-    pub(crate) backend_heard_at: Mutex<Option<Instant>>,
+    pub(crate) backend_announced_at: Mutex<Option<Instant>>,
 }
 
 impl AgentHandle {
     /// The backend server announced itself.
-    pub(crate) fn backend_up(&self, services: Vec<String>, slots: u16) {
-        let is_new = self.lock_heard().replace(self.timer.now()).is_none();
+    pub(crate) fn register_backend(&self, services: Vec<String>, slots: u16) {
+        let is_new = self
+            .lock_backend_announced_at()
+            .replace(self.timer.now())
+            .is_none();
         let slots = slots.min(self.slots_limit);
-        self.tell_runner(RunnerEvent::BackendUp { services, slots });
+        self.notify_runner(RunnerEvent::BackendUp { services, slots });
         if is_new {
             log::info!("backend server announced itself");
             self.announce_now.notify_one();
@@ -57,34 +60,34 @@
     }
 
     /// The backend server said that it leaves.
-    pub(crate) fn backend_gone(&self) {
-        if self.lock_heard().take().is_some() {
+    pub(crate) fn remove_backend(&self) {
+        if self.lock_backend_announced_at().take().is_some() {
             log::info!("backend server is gone");
-            self.tell_runner(RunnerEvent::BackendGone);
+            self.notify_runner(RunnerEvent::BackendGone);
             self.announce_now.notify_one();
         }
     }
 
     /// Counts the backend server as gone if it has been silent for too long.
-    pub(crate) fn check_backend(&self) {
-        let heard_at = *self.lock_heard();
-        if let Some(heard_at) = heard_at
-            && self.timer.now().millis_since(heard_at) >= BACKEND_SILENT_MS
+    pub(crate) fn check_backend_timeout(&self) {
+        let announced_at = *self.lock_backend_announced_at();
+        if let Some(announced_at) = announced_at
+            && self.timer.now().millis_since(announced_at) >= BACKEND_TIMEOUT_MS
         {
-            self.backend_gone();
+            self.remove_backend();
         }
     }
 
     /// No new tasks from now on, and tickets of this home are no longer handed out. Jobs under
     /// those that are out are taken until the home has moved.
-    pub(crate) fn leave(&self) {
-        self.tell_runner(RunnerEvent::Shutdown);
+    pub(crate) fn start_shutdown(&self) {
+        self.notify_runner(RunnerEvent::Shutdown);
         self.announce_now.notify_one();
     }
 
     /// An entry told that tasks may start here, or no longer.
-    pub(crate) fn gate_changed(&self, notice: GateNotice) {
-        self.tell_runner(RunnerEvent::PermitRenewed {
+    pub(crate) fn apply_gate_notice(&self, notice: GateNotice) {
+        self.notify_runner(RunnerEvent::PermitRenewed {
             sent_at: self.timer.now(),
             config_version: notice.config_version,
             zone_open: notice.zone_open,
@@ -97,13 +100,13 @@
     }
 
     /// Feeds the runner.
-    pub(crate) fn tell_runner(&self, event: RunnerEvent) {
+    pub(crate) fn notify_runner(&self, event: RunnerEvent) {
         // The loops end only with the process.
         let _ = self.runner.send(RunnerInput::Event(event));
     }
 
     /// Feeds the home.
-    pub(crate) fn tell_home(&self, event: HomeEvent) {
+    pub(crate) fn notify_home(&self, event: HomeEvent) {
         // The loops end only with the process.
         let _ = self.home.send(HomeInput::Event(event));
     }
@@ -123,14 +126,14 @@
     }
 
     /// Homes of stopped processes that this one answers for.
-    pub(crate) fn adopted(&self) -> Vec<AgentId> {
-        let mut homes = self.homes.here();
+    pub(crate) fn adopted_homes(&self) -> Vec<AgentId> {
+        let mut homes = self.homes.local_homes();
         homes.retain(|home| *home != self.id);
         homes
     }
 
     /// An entry named agents that could take over this one's homes.
-    pub(crate) fn note_successors(&self, successors: &[SocketAddr]) {
+    pub(crate) fn record_successors(&self, successors: &[SocketAddr]) {
         if !successors.is_empty() {
             successors.clone_into(&mut self.lock_successors());
         }
@@ -148,11 +151,11 @@
     }
 
     /// Jobs at the homes of this process that have not ended.
-    pub(crate) async fn jobs_running(&self) -> usize {
+    pub(crate) async fn running_job_count(&self) -> usize {
         let mut total = 0;
-        for home in self.homes.here() {
-            if let Some(HomeRoute::Here(inputs)) = self.homes.route(home) {
-                total += running_at(&inputs).await;
+        for home in self.homes.local_homes() {
+            if let Some(HomeRoute::Local(inputs)) = self.homes.route(home) {
+                total += running_jobs_at(&inputs).await;
             }
         }
         total
@@ -165,14 +168,14 @@
             .is_some_and(|snapshot| !snapshot.services.is_empty() && !snapshot.leaving)
     }
 
-    fn lock_heard(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
-        self.backend_heard_at
+    fn lock_backend_announced_at(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
+        self.backend_announced_at
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn running_at(home: &mpsc::UnboundedSender<HomeInput>) -> usize {
+async fn running_jobs_at(home: &mpsc::UnboundedSender<HomeInput>) -> usize {
     let (reply, count) = oneshot::channel();
     if home.send(HomeInput::RunningCount(reply)).is_err() {
         return 0;
--- a/src/agent/announcer.rs
+++ b/src/agent/announcer.rs
@@ -17,14 +17,14 @@
 };
 
 /// Pause between announcements, in milliseconds.
-const ANNOUNCE_MS: u64 = 1_000;
+const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
 /// Time after which an announcement counts as lost, in milliseconds; the next entry is tried
 /// well before the permit of the last announcement ends.
 const ANNOUNCE_TIMEOUT_MS: u64 = 600;
 /// Entries tried for one announcement.
-const TRIES: usize = 3;
+const MAX_ENTRIES_TRIED: usize = 3;
 /// Tickets granted with each announcement.
-const GRANT_TICKETS: u32 = 4_096;
+const TICKETS_PER_GRANT: u32 = 4_096;
 
 /// Announces one agent.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Digest of the roster held, zero for none.
     pub(crate) roster_digest: u64,
     /// Number of the last announcement.
-    pub(crate) number: u64,
+    pub(crate) last_number: u64,
     pub(crate) agent: Arc<AgentHandle>,
     pub(crate) network: Arc<dyn PeerNetwork>,
     pub(crate) timer: Arc<dyn TimerService>,
@@ -46,7 +46,7 @@
 
 /// How an announcement to one entry went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Outcome {
+enum AnnounceOutcome {
     Answered,
     /// The entry can't vouch for the configuration now: no permit came back.
     NoPermit,
@@ -55,7 +55,7 @@
     TimedOut,
 }
 
-impl Outcome {
+impl AnnounceOutcome {
     const fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -70,13 +70,13 @@
 impl Announcer {
     /// Announces every second, and at once when something changed.
     pub(crate) async fn run(mut self) {
-        let mut ticks = self.timer.subscribe(ANNOUNCE_MS);
+        let mut ticks = self.timer.subscribe(ANNOUNCE_INTERVAL_MS);
         loop {
             tokio::select! {
                 tick = ticks.recv() => if tick.is_none() { return },
                 () = self.agent.announce_now.notified() => {}
             }
-            self.agent.check_backend();
+            self.agent.check_backend_timeout();
             if self.announce().await.is_none() {
                 return;
             }
@@ -86,11 +86,11 @@
     /// Announces to one entry; to the next one if it doesn't answer or grants no permit.
     async fn announce(&mut self) -> Option<()> {
         let entries = self.entries.next_round(self.timer.now());
-        for entry in entries.into_iter().take(TRIES) {
+        for entry in entries.into_iter().take(MAX_ENTRIES_TRIED) {
             let snapshot = self.agent.snapshot().await?;
             let outcome = self.announce_to(entry, snapshot).await;
             self.metrics.count(Counter::Announcements, outcome.as_str());
-            if outcome == Outcome::Answered {
+            if outcome == AnnounceOutcome::Answered {
                 self.entries.trust(entry);
                 break;
             }
@@ -99,25 +99,29 @@
         Some(())
     }
 
-    async fn announce_to(&mut self, entry: SocketAddr, snapshot: RunnerSnapshot) -> Outcome {
-        let announcement = self.announcement(snapshot).await;
+    async fn announce_to(
+        &mut self,
+        entry: SocketAddr,
+        snapshot: RunnerSnapshot,
+    ) -> AnnounceOutcome {
+        let announcement = self.build_announcement(snapshot).await;
         let sent_at = self.timer.now();
         let call = self
             .network
             .call(entry, PeerRequest::Announce(announcement));
         match timeout(Duration::from_millis(ANNOUNCE_TIMEOUT_MS), call).await {
-            Ok(Ok(PeerReply::Announced(reply))) => self.take_reply(sent_at, reply),
-            Ok(Ok(_)) => Outcome::Unsupported,
-            Ok(Err(_)) => Outcome::Unreachable,
-            Err(_) => Outcome::TimedOut,
+            Ok(Ok(PeerReply::Announced(reply))) => self.apply_reply(sent_at, reply),
+            Ok(Ok(_)) => AnnounceOutcome::Unsupported,
+            Ok(Err(_)) => AnnounceOutcome::Unreachable,
+            Err(_) => AnnounceOutcome::TimedOut,
         }
     }
 
-    async fn announcement(&mut self, snapshot: RunnerSnapshot) -> Announcement {
-        self.number += 1;
+    async fn build_announcement(&mut self, snapshot: RunnerSnapshot) -> Announcement {
+        self.last_number += 1;
         Announcement {
             agent: self.id,
-            number: self.number,
+            number: self.last_number,
             worker: self.worker.clone(),
             availability_zone: self.availability_zone.clone(),
             peer_addr: self.peer_addr,
@@ -127,14 +131,14 @@
             leaving: snapshot.leaving,
             config_version: snapshot.config_version,
             roster_digest: self.roster_digest,
-            adopted: self.agent.adopted(),
-            grant: self.agent.grant(GRANT_TICKETS).await,
+            adopted: self.agent.adopted_homes(),
+            grant: self.agent.grant(TICKETS_PER_GRANT).await,
         }
     }
 
-    fn take_reply(&mut self, sent_at: Instant, reply: AnnouncementReply) -> Outcome {
-        self.agent.note_successors(&reply.successors);
-        self.agent.tell_runner(RunnerEvent::PermitRenewed {
+    fn apply_reply(&mut self, sent_at: Instant, reply: AnnouncementReply) -> AnnounceOutcome {
+        self.agent.record_successors(&reply.successors);
+        self.agent.notify_runner(RunnerEvent::PermitRenewed {
             sent_at,
             config_version: reply.config_version,
             zone_open: reply.zone_open,
@@ -146,8 +150,8 @@
             self.entries.set_roster(addrs);
         }
         if reply.zone_open && reply.permit_ms == 0 {
-            return Outcome::NoPermit;
+            return AnnounceOutcome::NoPermit;
         }
-        Outcome::Answered
+        AnnounceOutcome::Answered
     }
 }
--- a/src/agent/hand_over.rs
+++ b/src/agent/hand_over.rs
@@ -19,9 +19,9 @@
 };
 
 /// How long to wait for an entry to name successors, in milliseconds.
-const SUCCESSORS_WAIT_MS: u64 = 2_000;
+const SUCCESSORS_TIMEOUT_MS: u64 = 2_000;
 /// Pause between looks and between offers, in milliseconds.
-const PAUSE_MS: u64 = 20;
+const RETRY_INTERVAL_MS: u64 = 20;
 /// Time after which an offer is repeated, in milliseconds.
 const OFFER_TIMEOUT_MS: u64 = 5_000;
 
@@ -34,8 +34,8 @@
             let agent = Arc::clone(self);
             tokio::spawn(async move {
                 // Ends when the home's tickets are over, or when it has moved on.
-                if running.await.is_ok() && agent.homes.here().contains(&home) {
-                    agent.homes.forget(home);
+                if running.await.is_ok() && agent.homes.local_homes().contains(&home) {
+                    agent.homes.remove(home);
                 }
             });
             inputs
@@ -44,38 +44,43 @@
             log::info!(home:? = home; "took over a leaving home");
             self.announce_now.notify_one();
         }
-        adoption != Adoption::Refused
+        adoption != Adoption::Rejected
     }
 
     /// Moves all homes of this process to a successor, as far as one is found before `until`.
-    pub(crate) async fn hand_over_homes(self: &Arc<Self>, until: Instant) {
+    pub(crate) async fn hand_over_homes(self: &Arc<Self>, deadline: Instant) {
         self.homes.stop_adopting();
-        let successors = self.await_successors(until).await;
-        for home in self.homes.here() {
-            self.hand_over(home, &successors, until).await;
+        let successors = self.wait_for_successors(deadline).await;
+        for home in self.homes.local_homes() {
+            self.hand_over(home, &successors, deadline).await;
         }
         // Entries learn at once that this process answers for nobody any more.
         self.announce_now.notify_one();
     }
 
-    async fn await_successors(&self, until: Instant) -> Vec<SocketAddr> {
-        let until = until.min(self.timer.now().plus_ms(SUCCESSORS_WAIT_MS));
+    async fn wait_for_successors(&self, deadline: Instant) -> Vec<SocketAddr> {
+        let deadline = deadline.min(self.timer.now().plus_ms(SUCCESSORS_TIMEOUT_MS));
         loop {
             let successors = self.successors();
-            if !successors.is_empty() || self.timer.now() >= until {
+            if !successors.is_empty() || self.timer.now() >= deadline {
                 return successors;
             }
-            sleep(Duration::from_millis(PAUSE_MS)).await;
+            sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
         }
     }
 
-    async fn hand_over(self: &Arc<Self>, home: AgentId, successors: &[SocketAddr], until: Instant) {
+    async fn hand_over(
+        self: &Arc<Self>,
+        home: AgentId,
+        successors: &[SocketAddr],
+        deadline: Instant,
+    ) {
         if successors.is_empty() {
-            self.tell_home(HomeEvent::Shutdown);
+            self.notify_home(HomeEvent::Shutdown);
             log::warn!(home:? = home; "no successor: its jobs end here");
             return;
         }
-        let Some((inputs, moved)) = self.homes.start_move(home) else {
+        let Some((inputs, moved_to)) = self.homes.start_move(home) else {
             return;
         };
         let (reply, records) = oneshot::channel();
@@ -87,11 +92,11 @@
         };
         for successor in successors {
             let network = self.starter.network.as_ref();
-            let in_time = || self.timer.now() < until;
-            match offer(network, *successor, &records, in_time).await {
-                Offer::Taken => return self.finish_move(home, *successor, &moved),
-                Offer::Refused => {}
-                Offer::Unknown => {
+            let is_before_deadline = || self.timer.now() < deadline;
+            match offer_home(network, *successor, &records, is_before_deadline).await {
+                HandOverOutcome::Accepted => return self.finish_move(home, *successor, &moved_to),
+                HandOverOutcome::Rejected => {}
+                HandOverOutcome::Unknown => {
                     log::warn!(home:? = home, successor:% = successor; "hand-over without a reply");
                     return;
                 }
@@ -101,17 +106,17 @@
         let (inputs, _) = self.starter.start_adopted(*records);
         // The loop ends only with the process.
         let _ = inputs.send(HomeInput::Event(HomeEvent::Shutdown));
-        self.homes.set_here(home, inputs);
+        self.homes.set_local(home, inputs);
     }
 
     fn finish_move(
         &self,
         home: AgentId,
         successor: SocketAddr,
-        moved: &watch::Sender<Option<SocketAddr>>,
+        moved_to: &watch::Sender<Option<SocketAddr>>,
     ) {
         log::info!(home:? = home, successor:% = successor; "home handed over");
-        moved.send_replace(Some(successor));
+        moved_to.send_replace(Some(successor));
     }
 }
 
@@ -121,12 +126,12 @@
 /// other successor is asked and this process doesn't go on with the home either. Repeating
 /// the offer to the same one is harmless, and only its own word that it has the home counts:
 /// a refusal may come from a process that has taken its place.
-pub(super) async fn offer(
+pub(super) async fn offer_home(
     network: &dyn PeerNetwork,
     to: SocketAddr,
     records: &HomeRecords,
-    in_time: impl Fn() -> bool,
-) -> Offer {
+    is_before_deadline: impl Fn() -> bool,
+) -> HandOverOutcome {
     let mut may_have_arrived = false;
     loop {
         let request = PeerRequest::Adopt(Box::new(records.clone()));
@@ -136,26 +141,26 @@
         )
         .await
         {
-            Ok(Ok(PeerReply::Adopted)) => return Offer::Taken,
+            Ok(Ok(PeerReply::Adopted)) => return HandOverOutcome::Accepted,
             Ok(Ok(_) | Err(PeerError::Unreachable(_))) if !may_have_arrived => {
-                return Offer::Refused;
+                return HandOverOutcome::Rejected;
             }
             Ok(_) | Err(_) => may_have_arrived = true,
         }
-        if !in_time() {
-            return Offer::Unknown;
+        if !is_before_deadline() {
+            return HandOverOutcome::Unknown;
         }
-        sleep(Duration::from_millis(PAUSE_MS)).await;
+        sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
     }
 }
 
 /// What became of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Offer {
+pub(super) enum HandOverOutcome {
     /// The successor answers for the home.
-    Taken,
+    Accepted,
     /// It surely doesn't.
-    Refused,
+    Rejected,
     /// It may.
     Unknown,
 }
--- a/src/agent/home_loop.rs
+++ b/src/agent/home_loop.rs
@@ -18,16 +18,16 @@
 const TICK_MS: u64 = 5;
 
 /// Makes an event out of the waiter that its reply goes to.
-pub(crate) type EventFor = Box<dyn FnOnce(WaiterId) -> HomeEvent + Send>;
+pub(crate) type EventBuilder = Box<dyn FnOnce(WaiterId) -> HomeEvent + Send>;
 
 /// What the loop takes in.
 pub(crate) enum HomeInput {
     /// A request of an entry, with where its reply goes.
-    Request(EventFor, oneshot::Sender<JobStatus>),
+    Request(EventBuilder, oneshot::Sender<JobStatus>),
     /// An event without a reply.
     Event(HomeEvent),
     /// A session is open; frames go out here.
-    SessionOpen {
+    SessionOpened {
         runner: AgentId,
         epoch: u64,
         outgoing: mpsc::UnboundedSender<HomeFrame>,
@@ -61,9 +61,9 @@
         let mut ticks = self.timer.subscribe(TICK_MS);
         while !self.ended {
             tokio::select! {
-                Some(input) = received.recv() => self.take(input),
+                Some(input) = received.recv() => self.handle_input(input),
                 Some(_) = ticks.recv() => {
-                    self.feed(HomeEvent::Tick);
+                    self.handle_event(HomeEvent::Tick);
                     self.ended = self.adopted && self.home.is_finished();
                     self.metrics.set(Gauge::JobsRunning, self.home.running_count() as u64);
                 }
@@ -72,25 +72,25 @@
         }
     }
 
-    fn take(&mut self, input: HomeInput) {
+    fn handle_input(&mut self, input: HomeInput) {
         match input {
-            HomeInput::Request(event_for, reply) => {
+            HomeInput::Request(build_event, reply) => {
                 self.next_waiter += 1;
                 let waiter = WaiterId(self.next_waiter);
                 self.waiters.insert(waiter, reply);
-                self.feed(event_for(waiter));
+                self.handle_event(build_event(waiter));
             }
             HomeInput::Event(event) => {
                 if let HomeEvent::SessionLost { runner, epoch } = event {
-                    self.forget_session(runner, epoch);
+                    self.remove_session(runner, epoch);
                 }
-                self.feed(event);
+                self.handle_event(event);
             }
-            HomeInput::SessionOpen {
+            HomeInput::SessionOpened {
                 runner,
                 epoch,
                 outgoing,
-            } => self.keep_session(runner, epoch, outgoing),
+            } => self.add_session(runner, epoch, outgoing),
             // A dropped receiver no longer wants the reply.
             HomeInput::Grant(count, reply) => {
                 let _ = reply.send(self.home.grant(self.timer.now(), count));
@@ -98,7 +98,7 @@
             HomeInput::HandOver(reply) => {
                 let (records, actions) = self.home.hand_over(self.timer.now());
                 for action in actions {
-                    self.carry_out(action);
+                    self.execute(action);
                 }
                 let _ = reply.send(Box::new(records));
                 self.ended = true;
@@ -111,7 +111,7 @@
 
     /// Guards against a session that opened late and takes the place of a newer one: the home
     /// sends on the newest only, so its frames would be dropped and its tasks never start.
-    fn keep_session(
+    fn add_session(
         &mut self,
         runner: AgentId,
         epoch: u64,
@@ -126,7 +126,7 @@
         }
     }
 
-    fn forget_session(&mut self, runner: AgentId, epoch: u64) {
+    fn remove_session(&mut self, runner: AgentId, epoch: u64) {
         if self
             .sessions
             .get(&runner)
@@ -136,14 +136,14 @@
         }
     }
 
-    fn feed(&mut self, event: HomeEvent) {
+    fn handle_event(&mut self, event: HomeEvent) {
         let actions = self.home.handle(self.timer.now(), event);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: HomeAction) {
+    fn execute(&mut self, action: HomeAction) {
         match action {
             HomeAction::OpenSession {
                 runner,
@@ -190,7 +190,7 @@
         tokio::spawn(async move {
             if let Ok(session) = network.open_session(peer_addr, home, epoch).await {
                 let mut incoming = session.incoming;
-                let opened = HomeInput::SessionOpen {
+                let opened = HomeInput::SessionOpened {
                     runner,
                     epoch,
                     outgoing: session.outgoing,
--- a/src/agent/home_routes.rs
+++ b/src/agent/home_routes.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum HomeRoute {
     /// Its loop runs in this process.
-    Here(mpsc::UnboundedSender<HomeInput>),
+    Local(mpsc::UnboundedSender<HomeInput>),
     /// It leaves; its successor's address, once that has taken over.
     Moving(watch::Receiver<Option<SocketAddr>>),
 }
@@ -26,9 +26,9 @@
     /// It is taken over now.
     New,
     /// It was taken over before: the offer was repeated because its reply was lost.
-    Known,
+    AlreadyAdopted,
     /// This process is leaving, too.
-    Refused,
+    Rejected,
 }
 
 #[derive(Debug, Default)]
@@ -52,8 +52,8 @@
     }
 
     /// Sends the home's requests to this loop from now on.
-    pub(crate) fn set_here(&self, home: AgentId, inputs: mpsc::UnboundedSender<HomeInput>) {
-        self.lock().routes.insert(home, HomeRoute::Here(inputs));
+    pub(crate) fn set_local(&self, home: AgentId, inputs: mpsc::UnboundedSender<HomeInput>) {
+        self.lock().routes.insert(home, HomeRoute::Local(inputs));
     }
 
     /// Takes a home over unless it is known or this process is leaving; `start` runs its loop.
@@ -64,21 +64,21 @@
     ) -> Adoption {
         let mut inner = self.lock();
         if inner.routes.contains_key(&home) {
-            return Adoption::Known;
+            return Adoption::AlreadyAdopted;
         }
         if inner.stopping {
-            return Adoption::Refused;
+            return Adoption::Rejected;
         }
-        inner.routes.insert(home, HomeRoute::Here(start()));
+        inner.routes.insert(home, HomeRoute::Local(start()));
         Adoption::New
     }
 
     /// Homes whose loops run here.
-    pub(crate) fn here(&self) -> Vec<AgentId> {
+    pub(crate) fn local_homes(&self) -> Vec<AgentId> {
         self.lock()
             .routes
             .iter()
-            .filter(|(_, route)| matches!(route, HomeRoute::Here(_)))
+            .filter(|(_, route)| matches!(route, HomeRoute::Local(_)))
             .map(|(home, _)| *home)
             .collect()
     }
@@ -97,15 +97,15 @@
         watch::Sender<Option<SocketAddr>>,
     )> {
         let mut inner = self.lock();
-        let (moved, successor) = watch::channel(None);
+        let (moved_to, successor) = watch::channel(None);
         match inner.routes.insert(home, HomeRoute::Moving(successor)) {
-            Some(HomeRoute::Here(inputs)) => Some((inputs, moved)),
+            Some(HomeRoute::Local(inputs)) => Some((inputs, moved_to)),
             _ => None,
         }
     }
 
     /// Forgets a home all of whose tickets are over.
-    pub(crate) fn forget(&self, home: AgentId) {
+    pub(crate) fn remove(&self, home: AgentId) {
         self.lock().routes.remove(&home);
     }
 }
--- a/src/agent/peer_handler.rs
+++ b/src/agent/peer_handler.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AgentHandle,
-        home_loop::{EventFor, HomeInput},
+        home_loop::{EventBuilder, HomeInput},
         home_routes::HomeRoute,
         runner_loop::RunnerInput,
     },
@@ -31,7 +31,7 @@
 impl PeerHandler for AgentPeerHandler {
     async fn call(&self, request: PeerRequest) -> PeerReply {
         if let PeerRequest::Gate(notice) = request {
-            self.agent.gate_changed(notice);
+            self.agent.apply_gate_notice(notice);
             return PeerReply::Noted;
         }
         if let PeerRequest::Adopt(records) = request {
@@ -62,7 +62,7 @@
                 Some(HomeRoute::Moving(successor)) => {
                     return self.forward(successor, request).await;
                 }
-                Some(HomeRoute::Here(home)) => match ask(&home, request.clone()).await {
+                Some(HomeRoute::Local(home)) => match send_request(&home, request.clone()).await {
                     Some(status) => return PeerReply::Job(status),
                     // The home began to move in this moment: its route says where.
                     None if self.has_moved(&ticket) => {}
@@ -70,7 +70,7 @@
                 },
                 // The own home knows how to answer for tickets of others.
                 None => {
-                    let status = ask(&self.agent.home, request).await;
+                    let status = send_request(&self.agent.home, request).await;
                     return status.map_or(PeerReply::Unsupported, PeerReply::Job);
                 }
             }
@@ -100,10 +100,13 @@
     }
 }
 
-async fn ask(home: &mpsc::UnboundedSender<HomeInput>, request: PeerRequest) -> Option<JobStatus> {
-    let event_for = event_for(request)?;
+async fn send_request(
+    home: &mpsc::UnboundedSender<HomeInput>,
+    request: PeerRequest,
+) -> Option<JobStatus> {
+    let build_event = event_builder(request)?;
     let (reply, status) = oneshot::channel();
-    home.send(HomeInput::Request(event_for, reply)).ok()?;
+    home.send(HomeInput::Request(build_event, reply)).ok()?;
     status.await.ok()
 }
 
@@ -119,7 +122,7 @@
     }
 }
 
-fn event_for(request: PeerRequest) -> Option<EventFor> {
+fn event_builder(request: PeerRequest) -> Option<EventBuilder> {
     match request {
         PeerRequest::Announce(_)
         | PeerRequest::Digest(_)
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -33,13 +33,13 @@
 };
 
 /// For how long the runner keeps outcomes that their homes have not acknowledged.
-const KEEP_OUTCOME_MS: u64 = 120_000;
+const OUTCOME_RETENTION_MS: u64 = 120_000;
 /// Pause between looks at what is left to do before a stop, in milliseconds.
 const DRAIN_POLL_MS: u64 = 20;
 /// For how long a stopping agent passes requests on to its successor, in milliseconds.
-const LINGER_MS: u64 = 1_500;
+const FORWARDING_GRACE_MS: u64 = 1_500;
 /// For how long a stopping runner keeps outcomes that no home fetches, in milliseconds.
-const FETCH_LIMIT_MS: u64 = 3_000;
+const FETCH_TIMEOUT_MS: u64 = 3_000;
 
 /// Runs an agent until SIGTERM or SIGINT; work under way is finished first.
 pub(crate) async fn run_agent(settings: AgentSettings) -> Result<(), RunError> {
@@ -66,7 +66,7 @@
         peer_addr: settings.peer_addr,
         entries: EntryChoice::new(id, settings.entries.clone()),
         roster_digest: 0,
-        number: 0,
+        last_number: 0,
         agent: Arc::clone(&agent),
         network,
         timer: Arc::clone(&timer),
@@ -110,10 +110,10 @@
     };
     let home_inputs = starter.start_own(id);
     let homes = HomeRoutes::default();
-    homes.set_here(id, home_inputs.clone());
+    homes.set_local(id, home_inputs.clone());
     let (runner_inputs, runner_received) = mpsc::unbounded_channel();
     let runner_settings = RunnerSettings {
-        keep_outcome_ms: KEEP_OUTCOME_MS,
+        keep_outcome_ms: OUTCOME_RETENTION_MS,
     };
     let runner = RunnerLoop {
         runner: Runner::new(id, runner_settings),
@@ -136,7 +136,7 @@
         timer: Arc::clone(timer),
         slots_limit: settings.slots,
         announce_now: Notify::new(),
-        backend_heard_at: Mutex::new(None),
+        backend_announced_at: Mutex::new(None),
     })
 }
 
@@ -147,25 +147,25 @@
 /// `LINGER_MS` after, until every entry has heard of the successor.
 async fn drain(agent: &Arc<AgentHandle>, timer: &dyn TimerService, limit_ms: u64) {
     let started_at = timer.now();
-    agent.leave();
+    agent.start_shutdown();
     agent.hand_over_homes(started_at.plus_ms(limit_ms)).await;
     let moved_at = timer.now();
     let mut idle_since = None;
     let mut ticks = timer.subscribe(DRAIN_POLL_MS);
     while ticks.recv().await.is_some() {
         let now = timer.now();
-        let left = work_left(agent).await;
+        let remaining = remaining_work(agent).await;
         let waited_ms = now.millis_since(started_at);
-        if left.is_idle() {
+        if remaining.is_idle() {
             let idle_ms = now.millis_since(*idle_since.get_or_insert(now));
-            let fetched = left.unfetched == 0 || idle_ms >= FETCH_LIMIT_MS;
-            if fetched && now.millis_since(moved_at) >= LINGER_MS {
+            let fetched = remaining.unfetched == 0 || idle_ms >= FETCH_TIMEOUT_MS;
+            if fetched && now.millis_since(moved_at) >= FORWARDING_GRACE_MS {
                 log::info!(waited_ms; "all work under way is finished");
                 return;
             }
         }
         if waited_ms >= limit_ms {
-            log::warn!(running = left.running, jobs = left.jobs, waited_ms; "stop limit reached with work under way");
+            log::warn!(running = remaining.running, jobs = remaining.jobs, waited_ms; "stop limit reached with work under way");
             return;
         }
     }
@@ -173,23 +173,23 @@
 
 /// What a stop still waits for.
 #[derive(Debug)]
-struct WorkLeft {
+struct RemainingWork {
     running: u16,
     jobs: usize,
     unfetched: usize,
 }
 
-impl WorkLeft {
+impl RemainingWork {
     const fn is_idle(&self) -> bool {
         self.running == 0 && self.jobs == 0
     }
 }
 
-async fn work_left(agent: &AgentHandle) -> WorkLeft {
+async fn remaining_work(agent: &AgentHandle) -> RemainingWork {
     let snapshot = agent.snapshot().await;
-    WorkLeft {
+    RemainingWork {
         running: snapshot.as_ref().map_or(0, |snapshot| snapshot.running),
         unfetched: snapshot.map_or(0, |snapshot| snapshot.unfetched),
-        jobs: agent.jobs_running().await,
+        jobs: agent.running_job_count().await,
     }
 }
--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -59,9 +59,9 @@
         let mut ticks = self.timer.subscribe(TICK_MS);
         loop {
             tokio::select! {
-                Some(input) = received.recv() => self.take(input),
+                Some(input) = received.recv() => self.handle_input(input),
                 Some(_) = ticks.recv() => {
-                    self.feed(RunnerEvent::Tick);
+                    self.handle_event(RunnerEvent::Tick);
                     self.metrics.set(Gauge::TasksRunning, u64::from(self.runner.running_count()));
                 }
                 else => return,
@@ -69,13 +69,13 @@
         }
     }
 
-    fn take(&mut self, input: RunnerInput) {
+    fn handle_input(&mut self, input: RunnerInput) {
         match input {
             RunnerInput::Event(event) => {
                 if let RunnerEvent::SessionClosed { session } = event {
                     self.sessions.remove(&session);
                 }
-                self.feed(event);
+                self.handle_event(event);
             }
             RunnerInput::Session(session) => self.open_session(session),
             RunnerInput::Snapshot(reply) => {
@@ -117,15 +117,15 @@
         });
     }
 
-    fn feed(&mut self, event: RunnerEvent) {
+    fn handle_event(&mut self, event: RunnerEvent) {
         let actions = self.runner.handle(self.timer.now(), event);
         self.permit.set_until(self.runner.permit_until());
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: RunnerAction) {
+    fn execute(&mut self, action: RunnerAction) {
         match action {
             RunnerAction::Send { session, frame } => {
                 if let Some(outgoing) = self.sessions.get(&session) {
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -7,7 +7,7 @@
 
 use {
     super::{
-        hand_over::{Offer, offer},
+        hand_over::{HandOverOutcome, offer_home},
         home_routes::{Adoption, HomeRoute, HomeRoutes},
     },
     crate::{
@@ -33,10 +33,10 @@
 
 /// A successor, or the connection to it, that answers each offer as told.
 #[derive(Debug)]
-struct Successor(Mutex<VecDeque<Result<PeerReply, PeerError>>>);
+struct ScriptedSuccessor(Mutex<VecDeque<Result<PeerReply, PeerError>>>);
 
 #[async_trait]
-impl PeerNetwork for Successor {
+impl PeerNetwork for ScriptedSuccessor {
     async fn call(&self, _: SocketAddr, request: PeerRequest) -> Result<PeerReply, PeerError> {
         assert!(matches!(request, PeerRequest::Adopt(records) if records.home == HOME));
         let mut script = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -64,7 +64,7 @@
     home.hand_over(Instant::default()).0
 }
 
-fn lost() -> Result<PeerReply, PeerError> {
+fn connection_lost() -> Result<PeerReply, PeerError> {
     Err(PeerError::Lost("cut".to_owned()))
 }
 
@@ -76,61 +76,61 @@
 /// successor were asked, or the home went on here, after an offer that may have arrived, two
 /// processes would answer for one ticket and a share would be paid twice. Only an offer that was
 /// surely not taken may be followed by another one elsewhere.
-macro_rules! offer_cases {
+macro_rules! hand_over_cases {
     ($($name:ident: [$($reply:expr),+] => $expected:ident;)+) => {
         $(
             #[tokio::test(start_paused = true)]
             async fn $name() {
-                let successor = Successor(Mutex::new(VecDeque::from([$($reply),+])));
+                let successor = ScriptedSuccessor(Mutex::new(VecDeque::from([$($reply),+])));
                 let to = SocketAddr::from(([127, 0, 0, 1], 1));
                 let started_at = tokio::time::Instant::now();
-                let in_time = || started_at.elapsed().as_millis() < 30;
-                let offer = offer(&successor, to, &records(), in_time).await;
-                assert_eq!(offer, Offer::$expected);
-                let left = successor.0.lock().unwrap_or_else(PoisonError::into_inner).len();
-                assert_eq!(left, 0, "offers too few");
+                let is_before_deadline = || started_at.elapsed().as_millis() < 30;
+                let outcome = offer_home(&successor, to, &records(), is_before_deadline).await;
+                assert_eq!(outcome, HandOverOutcome::$expected);
+                let unused_replies = successor.0.lock().unwrap_or_else(PoisonError::into_inner).len();
+                assert_eq!(unused_replies, 0, "offers too few");
             }
         )+
     };
 }
 
-offer_cases! {
-    a_taken_offer_is_known: [Ok(PeerReply::Adopted)] => Taken;
-    an_offer_that_is_refused_may_go_elsewhere: [Ok(PeerReply::Unsupported)] => Refused;
-    an_offer_that_was_not_sent_may_go_elsewhere: [unreachable()] => Refused;
-    a_lost_reply_is_followed_by_the_same_offer: [lost(), Ok(PeerReply::Adopted)] => Taken;
-    an_offer_that_may_have_arrived_stays_there: [lost(), unreachable(), lost()] => Unknown;
-    a_refusal_after_a_lost_reply_is_no_proof: [lost(), Ok(PeerReply::Unsupported), lost()] => Unknown;
+hand_over_cases! {
+    adopted_reply_accepts_the_home: [Ok(PeerReply::Adopted)] => Accepted;
+    rejected_offer_may_go_to_another_successor: [Ok(PeerReply::Unsupported)] => Rejected;
+    unsent_offer_may_go_to_another_successor: [unreachable()] => Rejected;
+    lost_reply_repeats_the_offer: [connection_lost(), Ok(PeerReply::Adopted)] => Accepted;
+    offer_that_may_have_arrived_goes_to_no_other_successor: [connection_lost(), unreachable(), connection_lost()] => Unknown;
+    rejection_after_a_lost_reply_is_inconclusive: [connection_lost(), Ok(PeerReply::Unsupported), connection_lost()] => Unknown;
 }
 
 /// The reply to an offer is lost and the offer is made again: the home must not be started twice.
 #[test]
-fn a_repeated_offer_is_recognised() {
+fn repeated_offer_starts_the_home_once() {
     let homes = HomeRoutes::default();
     let inputs = || mpsc::unbounded_channel().0;
     assert_eq!(homes.adopt(HOME, inputs), Adoption::New);
     assert_eq!(
         homes.adopt(HOME, || panic!("started twice")),
-        Adoption::Known
+        Adoption::AlreadyAdopted
     );
     homes.stop_adopting();
     assert_eq!(
         homes.adopt(HOME, || panic!("started twice")),
-        Adoption::Known
+        Adoption::AlreadyAdopted
     );
     assert_eq!(
         homes.adopt(AgentId(4), || panic!("leaving")),
-        Adoption::Refused
+        Adoption::Rejected
     );
 }
 
 /// A home moves on: requests must wait for its successor and not reach its old loop.
 #[test]
-fn a_moving_home_takes_no_requests() {
+fn moving_home_gets_no_requests() {
     let homes = HomeRoutes::default();
-    homes.set_here(HOME, mpsc::unbounded_channel().0);
+    homes.set_local(HOME, mpsc::unbounded_channel().0);
     assert!(homes.start_move(HOME).is_some());
     assert!(matches!(homes.route(HOME), Some(HomeRoute::Moving(_))));
-    assert!(homes.here().is_empty());
+    assert!(homes.local_homes().is_empty());
     assert!(homes.start_move(HOME).is_none(), "it moves once");
 }
--- a/src/core/tests/client_model.rs
+++ b/src/core/tests/client_model.rs
@@ -3,12 +3,12 @@
 use crate::core::{time::Instant, work::JobId};
 
 /// Pause before a job is sent again, in milliseconds.
-pub(super) const RESEND_MS: u64 = 1_300;
+pub(super) const RETRY_DELAY_MS: u64 = 1_300;
 
 impl ClientModel {
     /// Whether it has called, waits on nothing, and was told each time that its job has not run.
-    pub(super) const fn was_only_refused(&self) -> bool {
-        self.call.is_none() && self.calls > 0 && self.not_run == self.calls
+    pub(super) const fn received_only_not_run(&self) -> bool {
+        self.pending_call.is_none() && self.call_count > 0 && self.not_run_count == self.call_count
     }
 }
 
@@ -21,12 +21,12 @@
     /// When it stops waiting for good.
     pub(super) deadline: Instant,
     /// The call that it waits on: entry, the entry's life, waiter.
-    pub(super) call: Option<(usize, u64, u64)>,
-    pub(super) calls: u32,
+    pub(super) pending_call: Option<(usize, u64, u64)>,
+    pub(super) call_count: u32,
     /// Calls that were answered with "not run".
-    pub(super) not_run: u32,
+    pub(super) not_run_count: u32,
     /// It was answered at least once.
-    pub(super) heard: bool,
+    pub(super) got_reply: bool,
     /// It has its final answer, or has given up.
-    pub(super) ended: bool,
+    pub(super) finished: bool,
 }
--- a/src/core/tests/faults.rs
+++ b/src/core/tests/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong in a run.
 
-use super::chance::Chance;
+use super::seeded_rng::SeededRng;
 
 /// A fault at one place.
 #[derive(Debug, Clone, Copy)]
@@ -24,13 +24,13 @@
         for_ms: u64,
     },
     /// All sessions between two processes stay silent for a while, new ones too.
-    Silence {
+    StallLinks {
         entry: usize,
         agent: usize,
         for_ms: u64,
     },
     /// Their sessions break.
-    Reset {
+    ResetLinks {
         entry: usize,
         agent: usize,
     },
@@ -38,26 +38,26 @@
     CrashWorker {
         worker: usize,
         down_ms: u64,
-        same_name: bool,
+        same_id: bool,
     },
     /// A share of the calls to a worker is not answered; most are carried out seconds later.
-    LateOrders {
+    LateCalls {
         worker: usize,
         percent: u64,
         for_ms: u64,
     },
     /// A worker can't be reached and runs on.
-    CutWorker {
+    DisconnectWorker {
         worker: usize,
         for_ms: u64,
     },
     /// What runs at a worker stands still.
-    Hang {
+    HangWorker {
         worker: usize,
         for_ms: u64,
     },
     /// A worker says that it ends, and does a little later.
-    Drain {
+    DrainWorker {
         worker: usize,
     },
     /// Connections of all clients of an entry break.
@@ -65,44 +65,44 @@
         entry: usize,
     },
     /// A zone is taken out and comes back.
-    Evacuate {
+    EvacuateZone {
         for_ms: u64,
     },
 }
 
 impl Fault {
     /// Any fault.
-    pub(super) fn draw(chance: &mut Chance, entries: usize, workers: usize) -> Self {
-        let (entry, agent) = (chance.pick(entries), chance.pick(workers));
+    pub(super) fn random(rng: &mut SeededRng, entries: usize, workers: usize) -> Self {
+        let (entry, agent) = (rng.index(entries), rng.index(workers));
         let worker = agent;
-        let for_ms = chance.between(100, 5_000);
-        let down_ms = chance.between(50, 2_000);
-        match chance.between(0, 13) {
+        let for_ms = rng.between(100, 5_000);
+        let down_ms = rng.between(50, 2_000);
+        match rng.between(0, 13) {
             0 => Self::KillEntry { entry, down_ms },
             1 => Self::KillAgent { agent, down_ms },
             2 => Self::SuspendEntry { entry, for_ms },
             3 => Self::SuspendAgent { agent, for_ms },
-            4 => Self::Silence {
+            4 => Self::StallLinks {
                 entry,
                 agent,
                 for_ms,
             },
-            5 => Self::Reset { entry, agent },
+            5 => Self::ResetLinks { entry, agent },
             6 => Self::CrashWorker {
                 worker,
                 down_ms,
-                same_name: chance.percent(50),
+                same_id: rng.percent_chance(50),
             },
-            7 => Self::LateOrders {
+            7 => Self::LateCalls {
                 worker,
-                percent: chance.between(5, 60),
+                percent: rng.between(5, 60),
                 for_ms,
             },
-            8 => Self::CutWorker { worker, for_ms },
-            9 => Self::Hang { worker, for_ms },
-            10 => Self::Drain { worker },
+            8 => Self::DisconnectWorker { worker, for_ms },
+            9 => Self::HangWorker { worker, for_ms },
+            10 => Self::DrainWorker { worker },
             11 => Self::ResetClients { entry },
-            _ => Self::Evacuate { for_ms },
+            _ => Self::EvacuateZone { for_ms },
         }
     }
 }
--- a/src/core/tests/link_model.rs
+++ b/src/core/tests/link_model.rs
@@ -8,21 +8,26 @@
     pub(super) entry: usize,
     pub(super) agent: usize,
     /// Lives of both processes when it was opened; another life has nothing to do with it.
-    pub(super) lives: (u64, u64),
+    pub(super) incarnations: (u64, u64),
     /// Nothing arrives before then.
-    pub(super) silent_until: Instant,
+    pub(super) stalled_until: Instant,
     /// When the newest frame of each direction arrives: to the entry, to the agent.
-    pub(super) arrival: [Instant; 2],
+    pub(super) last_arrival: [Instant; 2],
     pub(super) open_at_entry: bool,
     pub(super) open_at_agent: bool,
 }
 
 impl LinkModel {
     /// When a frame that is sent now arrives.
-    pub(super) fn arrival(&mut self, now: Instant, direction: usize, delay_us: u64) -> Instant {
-        let at = now.plus_micros(delay_us).max(self.silent_until);
-        let at = at.max(self.arrival[direction].plus_micros(1));
-        self.arrival[direction] = at;
+    pub(super) fn schedule_arrival(
+        &mut self,
+        now: Instant,
+        direction: usize,
+        delay_us: u64,
+    ) -> Instant {
+        let at = now.plus_micros(delay_us).max(self.stalled_until);
+        let at = at.max(self.last_arrival[direction].plus_micros(1));
+        self.last_arrival[direction] = at;
         at
     }
 }
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -3,10 +3,10 @@
 //! What a run checks while it goes on: no task ever runs twice at once, an answer "completed" is whole, a
 //! job that was only ever refused has not run, every client hears in time, and nothing stays behind.
 
-mod chance;
-mod checks;
 mod client_model;
 mod faults;
 mod link_model;
+mod seeded_rng;
 mod seeds;
-mod world;
+mod simulation;
+mod simulation_report;
--- a/src/core/tests/chance.rs
+++ b/src/core/tests/seeded_rng.rs
@@ -7,9 +7,9 @@
 
 /// The only source of chance in a run.
 #[derive(Debug)]
-pub(super) struct Chance(ChaCha8Rng);
+pub(super) struct SeededRng(ChaCha8Rng);
 
-impl Chance {
+impl SeededRng {
     pub(super) fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
@@ -20,12 +20,12 @@
     }
 
     /// True in so many of a hundred cases.
-    pub(super) fn percent(&mut self, percent: u64) -> bool {
+    pub(super) fn percent_chance(&mut self, percent: u64) -> bool {
         self.between(0, 100) < percent
     }
 
     /// One of so many.
-    pub(super) fn pick(&mut self, count: usize) -> usize {
+    pub(super) fn index(&mut self, count: usize) -> usize {
         self.between(0, count as u64) as usize
     }
 }
--- a/src/core/tests/seeds.rs
+++ b/src/core/tests/seeds.rs
@@ -1,52 +1,55 @@
 //! Runs of the harness.
 
 use {
-    super::world::{JOBS, Setup, World},
+    super::simulation::{JOBS, Setup, Simulation},
     crate::core::work::RunLimits,
 };
 
 /// Seeds that every test run plays.
 const FIXED_SEEDS: u64 = 250;
 /// Seeds within which a naive entry must be caught.
-const NAIVE_SEEDS: u64 = 100;
+const DETECTION_SEEDS: u64 = 100;
 
-fn play(seed: u64, setup: Setup) -> World {
-    let mut world = World::new(seed, setup);
-    world.play();
-    world
+fn simulate(seed: u64, setup: Setup) -> Simulation {
+    let mut simulation = Simulation::new(seed, setup);
+    simulation.run();
+    simulation
 }
 
-fn assert_sound(seed: u64) -> World {
-    let world = play(seed, Setup::sound());
-    let checks = &world.checks;
+fn assert_no_violations(seed: u64) -> Simulation {
+    let simulation = simulate(seed, Setup::production());
+    let report = &simulation.report;
     assert!(
-        checks.broken.is_empty(),
+        report.violations.is_empty(),
         "seed {seed}: {:?}\n{}",
-        checks.broken,
-        checks.story(4_000)
+        report.violations,
+        report.trace_tail(4_000)
     );
-    world
+    simulation
 }
 
 #[test]
-fn no_promise_is_broken_on_the_fixed_seeds() {
-    let mut answers = std::collections::BTreeMap::new();
-    let mut unheard = 0;
+fn fixed_seeds_violate_no_invariant() {
+    let mut outcome_counts = std::collections::BTreeMap::new();
+    let mut unanswered = 0;
     for seed in 0..FIXED_SEEDS {
-        let checks = assert_sound(seed).checks;
-        unheard += u64::from(checks.unheard);
-        for (answer, count) in checks.answers {
-            *answers.entry(answer).or_insert(0) += u64::from(count);
+        let report = assert_no_violations(seed).report;
+        unanswered += u64::from(report.unanswered_clients);
+        for (outcome, count) in report.outcome_counts {
+            *outcome_counts.entry(outcome).or_insert(0) += u64::from(count);
         }
     }
     // The runs are worth something: nearly all jobs are served in spite of the faults, and some are not.
     let jobs = FIXED_SEEDS * JOBS;
-    assert!(answers["completed"] * 100 > jobs * 90, "{answers:?}");
-    assert!(answers.contains_key("not_run"), "{answers:?}");
+    assert!(
+        outcome_counts["completed"] * 100 > jobs * 90,
+        "{outcome_counts:?}"
+    );
+    assert!(outcome_counts.contains_key("not_run"), "{outcome_counts:?}");
     // Few clients wait in vain: what can't be served is said.
     assert!(
-        unheard * 100 < jobs * 3,
-        "{unheard} of {jobs} heard nothing"
+        unanswered * 100 < jobs * 3,
+        "{unanswered} of {jobs} heard nothing"
     );
 }
 
@@ -59,11 +62,11 @@
     let (first, end): (u64, u64) = (first.parse().expect("first"), end.parse().expect("end"));
     let mut failed = Vec::new();
     for seed in first..end {
-        let world = play(seed, Setup::sound());
-        if !world.checks.broken.is_empty() {
-            println!("seed {seed}: {:?}", world.checks.broken);
+        let simulation = simulate(seed, Setup::production());
+        if !simulation.report.violations.is_empty() {
+            println!("seed {seed}: {:?}", simulation.report.violations);
             if std::env::var_os("RATTANSLIP_STORY").is_some() {
-                println!("{}", world.checks.story(usize::MAX));
+                println!("{}", simulation.report.trace_tail(usize::MAX));
             }
             failed.push(seed);
         }
@@ -74,37 +77,37 @@
 /// An entry that starts a task elsewhere as soon as its agent is silent, as a first version would:
 /// the agent runs it on, and two runs of the task are at work. The harness must see that.
 #[test]
-fn an_entry_that_does_not_wait_is_caught() {
-    let naive = Setup {
+fn double_run_is_detected_if_entry_does_not_wait_for_the_lease() {
+    let unsafe_setup = Setup {
         entry_limits: RunLimits {
             silence_ms: 60,
             lease_ms: 0,
             stop_ms: 0,
-            ..Setup::sound().entry_limits
+            ..Setup::production().entry_limits
         },
-        ..Setup::sound()
+        ..Setup::production()
     };
-    assert!(is_caught(naive));
+    assert!(detects_double_run(unsafe_setup));
 }
 
 /// An agent that runs tasks on for as long as their job has time, whatever it hears from the entry: a
 /// client of an entry that was cut off sends its job to another, and two runs are at work.
 #[test]
-fn an_agent_without_a_bound_on_silence_is_caught() {
-    let sound = Setup::sound();
-    let naive = Setup {
+fn double_run_is_detected_if_agent_ignores_lost_contact() {
+    let production = Setup::production();
+    let unsafe_setup = Setup {
         agent_limits: RunLimits {
             silence_ms: 30_000,
-            ..sound.agent_limits
+            ..production.agent_limits
         },
-        ..sound
+        ..production
     };
-    assert!(is_caught(naive));
+    assert!(detects_double_run(unsafe_setup));
 }
 
-fn is_caught(naive: Setup) -> bool {
-    (0..NAIVE_SEEDS).any(|seed| {
-        let broken = play(seed, naive).checks.broken;
-        broken.iter().any(|what| what.contains("twice"))
+fn detects_double_run(unsafe_setup: Setup) -> bool {
+    (0..DETECTION_SEEDS).any(|seed| {
+        let violations = simulate(seed, unsafe_setup).report.violations;
+        violations.iter().any(|what| what.contains("twice"))
     })
 }
--- /dev/null
+++ b/src/core/tests/simulation.rs
@@ -0,0 +1,1316 @@
+//! The simulated world.
+
+use {
+    super::{
+        client_model::{ClientModel, RETRY_DELAY_MS},
+        faults::Fault,
+        link_model::LinkModel,
+        seeded_rng::SeededRng,
+        simulation_report::SimulationReport,
+    },
+    crate::core::{
+        dispatch::{
+            DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, JobOutcome, LinkId,
+            Submission, WaiterId,
+        },
+        document::Document,
+        execution::{
+            ExecutionAction, ExecutionEvent, Executor, ExecutorSettings, HoldResponse, SessionId,
+            StartResponse,
+        },
+        link::{AgentFrame, EntryFrame, EvacuatedZones, RunOutcome},
+        routes::Route,
+        time::Instant,
+        work::{JobId, JobRequest, Resources, RunLimits, StepSpec, WorkerView},
+    },
+    crate::standin::WorkerModel,
+    std::{
+        collections::{BTreeMap, BTreeSet},
+        sync::Arc,
+    },
+};
+
+const ENTRIES: usize = 3;
+const WORKERS: usize = 4;
+/// Tasks that a worker runs at a time.
+const SLOTS_PER_WORKER: usize = 4;
+const ZONES: [&str; 2] = ["north", "south"];
+/// Time in which jobs come and faults begin, in milliseconds.
+const LOAD_DURATION_MS: u64 = 12_000;
+/// Time after which all must be over, in milliseconds.
+const SIMULATION_DURATION_MS: u64 = 32_000;
+pub(super) const JOBS: u64 = 60;
+const FAULTS: u64 = 7;
+const TICK_MS: u64 = 20;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+/// Time in which an agent that starts reads what an earlier process knew of its worker, in milliseconds.
+const WORKER_VIEW_READ_MS: u64 = 8;
+
+/// Who goes by which bounds.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Setup {
+    pub(super) entry_limits: RunLimits,
+    pub(super) agent_limits: RunLimits,
+}
+
+impl Setup {
+    /// As shipped.
+    pub(super) fn production() -> Self {
+        let limits = RunLimits::for_resend(RETRY_DELAY_MS, 50);
+        Self {
+            entry_limits: limits,
+            agent_limits: limits,
+        }
+    }
+}
+
+#[derive(Debug)]
+enum Event {
+    EntryTick {
+        entry: usize,
+        incarnation: u64,
+    },
+    AgentTick {
+        agent: usize,
+        incarnation: u64,
+    },
+    WorkerTick {
+        worker: usize,
+    },
+    ConnectToAll {
+        agent: usize,
+        incarnation: u64,
+    },
+    Connect {
+        entry: usize,
+        agent: usize,
+        incarnation: u64,
+    },
+    FrameToEntry {
+        link: u64,
+        frame: AgentFrame,
+    },
+    FrameToAgent {
+        link: u64,
+        frame: EntryFrame,
+    },
+    ClientInput {
+        call: (usize, u64, u64),
+        event: DispatchEvent,
+    },
+    LinkLostAtEntry {
+        link: u64,
+    },
+    LinkLostAtAgent {
+        link: u64,
+    },
+    WorkerCall {
+        worker: usize,
+        incarnation: u64,
+        action: ExecutionAction,
+        respond: bool,
+    },
+    AgentInput {
+        agent: usize,
+        incarnation: u64,
+        event: ExecutionEvent,
+    },
+    Heartbeat {
+        worker: usize,
+    },
+    Submit {
+        client: usize,
+    },
+    ClientReply {
+        client: usize,
+        call: (usize, u64, u64),
+        answer: JobOutcome,
+    },
+    ClientDisconnect {
+        client: usize,
+    },
+    ClientDeadline {
+        client: usize,
+    },
+    StartFault(Fault),
+    StartEntry {
+        entry: usize,
+    },
+    StartAgent {
+        agent: usize,
+    },
+    RestartWorker {
+        worker: usize,
+        same_id: bool,
+    },
+    EndFault(Fault),
+}
+
+#[derive(Debug)]
+struct Process<M> {
+    machine: Option<M>,
+    incarnation: u64,
+    suspended_until: Instant,
+}
+
+impl<M> Process<M> {
+    fn is_incarnation(&self, incarnation: u64) -> bool {
+        self.machine.is_some() && self.incarnation == incarnation
+    }
+}
+
+/// Everything, at one moment.
+#[derive(Debug)]
+pub(super) struct Simulation {
+    setup: Setup,
+    rng: SeededRng,
+    now: Instant,
+    events: BTreeMap<(Instant, u64), Event>,
+    last_event_id: u64,
+    entries: Vec<Process<Dispatcher>>,
+    agents: Vec<Process<Executor>>,
+    workers: Vec<WorkerModel>,
+    worker_alive: Vec<bool>,
+    agent_connected: Vec<bool>,
+    late_calls: Vec<(u64, Instant)>,
+    worker_disconnected_until: Vec<Instant>,
+    /// What agents have kept of their workers.
+    stored_worker_views: BTreeMap<usize, WorkerView>,
+    stalled_links: BTreeMap<(usize, usize), Instant>,
+    links: BTreeMap<u64, LinkModel>,
+    last_link_id: u64,
+    clients: Vec<ClientModel>,
+    waiters: BTreeMap<(usize, u64, u64), usize>,
+    last_waiter_id: u64,
+    zones: EvacuatedZones,
+    evacuated_at: Option<Instant>,
+    pub(super) report: SimulationReport,
+}
+
+impl Simulation {
+    pub(super) fn new(seed: u64, setup: Setup) -> Self {
+        let mut simulation = Self {
+            setup,
+            rng: SeededRng::new(seed),
+            now: Instant::from_millis(1_000),
+            events: BTreeMap::new(),
+            last_event_id: 0,
+            entries: Vec::new(),
+            agents: Vec::new(),
+            workers: Vec::new(),
+            worker_alive: vec![true; WORKERS],
+            agent_connected: vec![false; WORKERS],
+            late_calls: vec![(0, Instant::default()); WORKERS],
+            worker_disconnected_until: vec![Instant::default(); WORKERS],
+            stored_worker_views: BTreeMap::new(),
+            stalled_links: BTreeMap::new(),
+            links: BTreeMap::new(),
+            last_link_id: 0,
+            clients: Vec::new(),
+            waiters: BTreeMap::new(),
+            last_waiter_id: 0,
+            zones: EvacuatedZones {
+                version: 1,
+                evacuated: BTreeSet::new(),
+            },
+            evacuated_at: None,
+            report: SimulationReport::default(),
+        };
+        simulation.set_up();
+        simulation
+    }
+
+    fn set_up(&mut self) {
+        for entry in 0..ENTRIES {
+            self.entries.push(Process {
+                machine: None,
+                incarnation: 0,
+                suspended_until: self.now,
+            });
+            self.schedule_in_ms(0, Event::StartEntry { entry });
+        }
+        for worker in 0..WORKERS {
+            let slow_permille = self.rng.between(0, 21);
+            let model = WorkerModel::new(
+                self.now,
+                format!("w{worker}"),
+                1_000,
+                slow_permille,
+                SLOTS_PER_WORKER,
+            );
+            self.workers.push(model);
+            self.agents.push(Process {
+                machine: None,
+                incarnation: 0,
+                suspended_until: self.now,
+            });
+            self.schedule_in_ms(0, Event::StartAgent { agent: worker });
+            self.schedule_in_ms(5, Event::WorkerTick { worker });
+            self.schedule_in_ms(100, Event::Heartbeat { worker });
+        }
+        for client in 0..JOBS {
+            let at_ms = self.rng.between(2_000, 2_000 + LOAD_DURATION_MS);
+            self.add_client(client, at_ms);
+        }
+        for _ in 0..FAULTS {
+            let fault = Fault::random(&mut self.rng, ENTRIES, WORKERS);
+            let at_ms = self.rng.between(1_500, 2_000 + LOAD_DURATION_MS);
+            self.schedule_in_ms(at_ms, Event::StartFault(fault));
+        }
+    }
+
+    fn add_client(&mut self, number: u64, at_ms: u64) {
+        let client_timeout_ms = self.rng.between(1_500, 7_000);
+        self.clients.push(ClientModel {
+            job: JobId(number + 1),
+            tasks: self.rng.between(1, 4) as u16,
+            // One job in four runs longer than a client waits before it sends a job again.
+            run_ms: if self.rng.percent_chance(25) {
+                self.rng.between(900, 3_000)
+            } else {
+                self.rng.between(50, 900)
+            },
+            deadline: self.now.plus_ms(at_ms + client_timeout_ms),
+            pending_call: None,
+            call_count: 0,
+            not_run_count: 0,
+            got_reply: false,
+            finished: false,
+        });
+        let client = number as usize;
+        self.schedule_in_ms(at_ms, Event::Submit { client });
+        self.schedule_in_ms(at_ms + client_timeout_ms, Event::ClientDeadline { client });
+    }
+
+    fn schedule_at(&mut self, when: Instant, event: Event) {
+        self.last_event_id += 1;
+        self.events.insert((when, self.last_event_id), event);
+    }
+
+    fn schedule_in_ms(&mut self, delay_ms: u64, event: Event) {
+        let when = self.now.plus_ms(delay_ms);
+        self.schedule_at(when, event);
+    }
+
+    fn schedule_soon(&mut self, event: Event) {
+        let delay_us = self.rng.between(100, 3_000);
+        let when = self.now.plus_micros(delay_us);
+        self.schedule_at(when, event);
+    }
+
+    fn trace(&mut self, what: String) {
+        let at_ms = self.now.as_micros() as f64 / 1_000.0;
+        self.report.trace.push(format!("{at_ms:10.1} {what}"));
+    }
+
+    /// Plays to the end, or to the first broken promise.
+    pub(super) fn run(&mut self) {
+        let end = self.now.plus_ms(SIMULATION_DURATION_MS);
+        while let Some(((when, _), event)) = self.events.pop_first() {
+            if when > end || !self.report.violations.is_empty() {
+                break;
+            }
+            self.now = when;
+            self.handle_event(event);
+        }
+        if self.report.violations.is_empty() {
+            self.check_final_state();
+        }
+    }
+
+    fn check_final_state(&mut self) {
+        for client in 0..self.clients.len() {
+            if !self.clients[client].finished {
+                self.report
+                    .report_violation(format!("client {client} never heard"));
+            }
+        }
+        for worker in 0..WORKERS {
+            let remaining = self.run_count_at(worker);
+            if remaining > 0 {
+                self.report
+                    .report_violation(format!("{remaining} runs are left at worker {worker}"));
+            }
+        }
+        let open: usize = self
+            .entries
+            .iter()
+            .filter_map(|entry| entry.machine.as_ref())
+            .map(Dispatcher::open_jobs)
+            .sum();
+        let runs: usize = self
+            .agents
+            .iter()
+            .filter_map(|agent| agent.machine.as_ref())
+            .map(Executor::run_count)
+            .sum();
+        if open + runs > 0 {
+            let what = format!("{open} jobs at entries and {runs} runs at agents are left");
+            self.report.report_violation(what);
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::EntryTick { entry, incarnation } => {
+                if self.entries[entry].is_incarnation(incarnation) {
+                    let resumes_at = self.entries[entry].suspended_until;
+                    if resumes_at > self.now {
+                        // Others of the events that wait go first.
+                        self.schedule_at(resumes_at, Event::EntryTick { entry, incarnation });
+                        return;
+                    }
+                    self.schedule_in_ms(TICK_MS, Event::EntryTick { entry, incarnation });
+                    self.handle_entry_event(entry, DispatchEvent::Tick);
+                }
+            }
+            Event::AgentTick { agent, incarnation } => {
+                if self.agents[agent].is_incarnation(incarnation) {
+                    self.schedule_in_ms(TICK_MS, Event::AgentTick { agent, incarnation });
+                    self.handle_agent_event(agent, ExecutionEvent::Tick);
+                }
+            }
+            Event::WorkerTick { worker } => self.tick_worker(worker),
+            Event::ConnectToAll { agent, incarnation } => {
+                if self.agents[agent].is_incarnation(incarnation) {
+                    self.connect_to_all_entries(agent);
+                }
+            }
+            Event::Connect {
+                entry,
+                agent,
+                incarnation,
+            } => self.connect(entry, agent, incarnation),
+            Event::FrameToEntry { link, frame } => self.deliver_to_entry(link, frame),
+            Event::FrameToAgent { link, frame } => self.deliver_to_agent(link, frame),
+            Event::ClientInput { call, event } => self.deliver_client_input(call, event),
+            Event::LinkLostAtEntry { link } => self.disconnect_at_entry(link),
+            Event::LinkLostAtAgent { link } => self.disconnect_at_agent(link),
+            Event::WorkerCall {
+                worker,
+                incarnation,
+                action,
+                respond,
+            } => self.execute_worker_call(worker, incarnation, action, respond),
+            Event::AgentInput {
+                agent,
+                incarnation,
+                event,
+            } => {
+                if self.agents[agent].is_incarnation(incarnation) {
+                    self.handle_agent_event(agent, event);
+                }
+            }
+            Event::Heartbeat { worker } => self.heartbeat(worker),
+            Event::Submit { client } => self.submit(client),
+            Event::ClientReply {
+                client,
+                call,
+                answer,
+            } => self.deliver_reply(client, call, answer),
+            Event::ClientDisconnect { client } => self.disconnect_client(client),
+            Event::ClientDeadline { client } => self.expire_client(client),
+            Event::StartFault(fault) => self.start_fault(fault),
+            Event::EndFault(fault) => self.end_fault(fault),
+            Event::StartEntry { entry } => self.start_entry(entry),
+            Event::StartAgent { agent } => self.start_agent(agent),
+            Event::RestartWorker { worker, same_id } => self.restart_worker(worker, same_id),
+        }
+    }
+
+    // Entries.
+
+    fn start_entry(&mut self, entry: usize) {
+        let settings = DispatchSettings {
+            limits: self.setup.entry_limits,
+            seed: entry as u64,
+        };
+        let process = &mut self.entries[entry];
+        process.incarnation += 1;
+        process.machine = Some(Dispatcher::new(settings));
+        process.suspended_until = self.now;
+        let incarnation = process.incarnation;
+        self.schedule_in_ms(TICK_MS, Event::EntryTick { entry, incarnation });
+        let zones = self.zones.clone();
+        self.handle_entry_event(entry, DispatchEvent::EvacuatedZones(zones));
+        let document = Document {
+            revision: 1,
+            text: Arc::from(&b"{}"[..]),
+        };
+        self.handle_entry_event(entry, DispatchEvent::Document(document));
+    }
+
+    /// Feeds an entry now, or when it wakes.
+    fn handle_entry_event(&mut self, entry: usize, event: DispatchEvent) {
+        let now = self.now;
+        let process = &mut self.entries[entry];
+        let Some(dispatcher) = &mut process.machine else {
+            return;
+        };
+        let actions = dispatcher.handle(now, [event]);
+        for action in actions {
+            self.execute_entry_action(entry, action);
+        }
+    }
+
+    fn execute_entry_action(&mut self, entry: usize, action: DispatchAction) {
+        let incarnation = self.entries[entry].incarnation;
+        match action {
+            DispatchAction::Send { link, frame } => self.send_frame_to_agent(link.0, frame),
+            DispatchAction::Close { link } => {
+                if let Some(model) = self.links.get_mut(&link.0) {
+                    model.open_at_entry = false;
+                    let at = model.schedule_arrival(self.now, 1, 1_000);
+                    self.schedule_at(at, Event::LinkLostAtAgent { link: link.0 });
+                }
+            }
+            DispatchAction::Reply { waiter, answer } => {
+                let call = (entry, incarnation, waiter.0);
+                if let Some(client) = self.waiters.remove(&call) {
+                    self.schedule_soon(Event::ClientReply {
+                        client,
+                        call,
+                        answer,
+                    });
+                }
+            }
+            DispatchAction::ApplyEvacuatedZones(zones) => {
+                self.handle_entry_event(entry, DispatchEvent::EvacuatedZones(zones))
+            }
+            DispatchAction::TakeDocument(document) => {
+                self.handle_entry_event(entry, DispatchEvent::Document(document));
+            }
+            DispatchAction::Log(event) => self.trace(format!("entry {entry}: {event:?}")),
+        }
+    }
+
+    fn send_frame_to_agent(&mut self, link: u64, frame: EntryFrame) {
+        let delay_us = self.rng.between(200, 2_500);
+        let now = self.now;
+        if let Some(model) = self.links.get_mut(&link)
+            && model.open_at_entry
+        {
+            let at = model.schedule_arrival(now, 1, delay_us);
+            self.schedule_at(at, Event::FrameToAgent { link, frame });
+        }
+    }
+
+    fn send_frame_to_entry(&mut self, link: u64, frame: AgentFrame) {
+        let delay_us = self.rng.between(200, 2_500);
+        let now = self.now;
+        if let Some(model) = self.links.get_mut(&link)
+            && model.open_at_agent
+        {
+            let at = model.schedule_arrival(now, 0, delay_us);
+            self.schedule_at(at, Event::FrameToEntry { link, frame });
+        }
+    }
+
+    fn deliver_to_entry(&mut self, link: u64, frame: AgentFrame) {
+        let Some(model) = self.links.get(&link) else {
+            return;
+        };
+        let (entry, incarnation) = (model.entry, model.incarnations.0);
+        if !model.open_at_entry || !self.entries[entry].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.entries[entry].suspended_until;
+        if resumes_at > self.now {
+            self.schedule_at(resumes_at, Event::FrameToEntry { link, frame });
+            return;
+        }
+        let link = LinkId(link);
+        self.handle_entry_event(entry, DispatchEvent::Frame { link, frame });
+    }
+
+    fn disconnect_at_entry(&mut self, link: u64) {
+        let Some(model) = self.links.get_mut(&link) else {
+            return;
+        };
+        let (entry, incarnation) = (model.entry, model.incarnations.0);
+        if !self.entries[entry].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.entries[entry].suspended_until;
+        if resumes_at > self.now {
+            self.schedule_at(resumes_at, Event::LinkLostAtEntry { link });
+            return;
+        }
+        if std::mem::replace(&mut model.open_at_entry, false) {
+            let link = LinkId(link);
+            self.handle_entry_event(entry, DispatchEvent::LinkLost { link });
+        }
+    }
+
+    // Agents.
+
+    fn start_agent(&mut self, agent: usize) {
+        let token = 1 + self.now.as_micros() / 1_000_000;
+        let settings = ExecutorSettings {
+            agent: format!("agent-{agent}"),
+            service: "shares".to_owned(),
+            limits: self.setup.agent_limits,
+            first_token: token,
+        };
+        let connect_delay_ms = settings.limits.lapse_ms() + 60;
+        let process = &mut self.agents[agent];
+        process.incarnation += 1;
+        process.machine = Some(Executor::new(settings));
+        process.suspended_until = self.now;
+        let incarnation = process.incarnation;
+        self.schedule_in_ms(TICK_MS, Event::AgentTick { agent, incarnation });
+        self.agent_connected[agent] = false;
+        self.schedule_in_ms(connect_delay_ms, Event::ConnectToAll { agent, incarnation });
+        if let Some(view) = self.stored_worker_views.get(&agent).cloned() {
+            let event = ExecutionEvent::WorkerRestored { view };
+            self.schedule_in_ms(
+                WORKER_VIEW_READ_MS,
+                Event::AgentInput {
+                    agent,
+                    incarnation,
+                    event,
+                },
+            );
+        }
+    }
+
+    /// Dials all entries, unless this life of the agent has done so.
+    fn connect_to_all_entries(&mut self, agent: usize) {
+        if std::mem::replace(&mut self.agent_connected[agent], true) {
+            return;
+        }
+        let incarnation = self.agents[agent].incarnation;
+        for entry in 0..ENTRIES {
+            self.schedule_in_ms(
+                0,
+                Event::Connect {
+                    entry,
+                    agent,
+                    incarnation,
+                },
+            );
+        }
+    }
+
+    fn connect(&mut self, entry: usize, agent: usize, incarnation: u64) {
+        if !self.agents[agent].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.agents[agent].suspended_until;
+        if resumes_at > self.now {
+            self.schedule_at(
+                resumes_at,
+                Event::Connect {
+                    entry,
+                    agent,
+                    incarnation,
+                },
+            );
+            return;
+        }
+        let stalled = self
+            .stalled_links
+            .get(&(entry, agent))
+            .is_some_and(|until| *until > self.now);
+        if stalled || self.entries[entry].machine.is_none() {
+            self.schedule_in_ms(
+                100,
+                Event::Connect {
+                    entry,
+                    agent,
+                    incarnation,
+                },
+            );
+            return;
+        }
+        self.last_link_id += 1;
+        let link = self.last_link_id;
+        let model = LinkModel {
+            entry,
+            agent,
+            incarnations: (self.entries[entry].incarnation, incarnation),
+            stalled_until: self.now,
+            last_arrival: [self.now; 2],
+            open_at_entry: true,
+            open_at_agent: true,
+        };
+        self.links.insert(link, model);
+        let opened = ExecutionEvent::SessionOpened {
+            session: SessionId(link),
+            entry: format!("entry-{entry}"),
+        };
+        self.handle_agent_event(agent, opened);
+    }
+
+    fn deliver_to_agent(&mut self, link: u64, frame: EntryFrame) {
+        let Some(model) = self.links.get(&link) else {
+            return;
+        };
+        let (agent, incarnation) = (model.agent, model.incarnations.1);
+        if !model.open_at_agent || !self.agents[agent].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.agents[agent].suspended_until;
+        if resumes_at > self.now {
+            self.schedule_at(resumes_at, Event::FrameToAgent { link, frame });
+            return;
+        }
+        let session = SessionId(link);
+        self.handle_agent_event(agent, ExecutionEvent::Frame { session, frame });
+    }
+
+    fn disconnect_at_agent(&mut self, link: u64) {
+        let Some(model) = self.links.get_mut(&link) else {
+            return;
+        };
+        let (agent, incarnation) = (model.agent, model.incarnations.1);
+        if !self.agents[agent].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.agents[agent].suspended_until;
+        if resumes_at > self.now {
+            self.schedule_at(resumes_at, Event::LinkLostAtAgent { link });
+            return;
+        }
+        if std::mem::replace(&mut model.open_at_agent, false) {
+            let session = SessionId(link);
+            self.handle_agent_event(agent, ExecutionEvent::SessionLost { session });
+        }
+    }
+
+    fn handle_agent_event(&mut self, agent: usize, event: ExecutionEvent) {
+        let now = self.now;
+        let process = &mut self.agents[agent];
+        if process.suspended_until > now {
+            let (incarnation, at) = (process.incarnation, process.suspended_until);
+            self.schedule_at(
+                at,
+                Event::AgentInput {
+                    agent,
+                    incarnation,
+                    event,
+                },
+            );
+            return;
+        }
+        let Some(executor) = &mut process.machine else {
+            return;
+        };
+        let actions = executor.handle(now, event);
+        for action in actions {
+            self.execute_agent_action(agent, action);
+        }
+    }
+
+    fn execute_agent_action(&mut self, agent: usize, action: ExecutionAction) {
+        match action {
+            ExecutionAction::Send { session, frame } => self.send_frame_to_entry(session.0, frame),
+            ExecutionAction::Close { session } => {
+                let now = self.now;
+                if let Some(model) = self.links.get_mut(&session.0) {
+                    model.open_at_agent = false;
+                    let at = model.schedule_arrival(now, 0, 1_000);
+                    self.schedule_at(at, Event::LinkLostAtEntry { link: session.0 });
+                }
+            }
+            ExecutionAction::SessionDrained { session } => {
+                if let Some(model) = self.links.get(&session.0) {
+                    let (entry, incarnation) = (model.entry, model.incarnations.1);
+                    self.schedule_in_ms(
+                        20,
+                        Event::Connect {
+                            entry,
+                            agent,
+                            incarnation,
+                        },
+                    );
+                }
+            }
+            ExecutionAction::StaleRunsStopped => self.connect_to_all_entries(agent),
+            ExecutionAction::PersistWorker(view) => {
+                self.stored_worker_views.insert(agent, view);
+            }
+            ExecutionAction::Log(event) => self.trace(format!("agent {agent}: {event:?}")),
+            ExecutionAction::Start(_) | ExecutionAction::Stop(_) | ExecutionAction::Hold(_) => {
+                self.call_worker(agent, action);
+            }
+        }
+    }
+
+    // Workers.
+
+    /// Sends a call; it may be lost, answered, or carried out seconds later without an answer.
+    fn call_worker(&mut self, agent: usize, action: ExecutionAction) {
+        let incarnation = self.agents[agent].incarnation;
+        let (percent, until) = self.late_calls[agent];
+        let cut = self.worker_disconnected_until[agent] > self.now;
+        let late = self.now < until && self.rng.percent_chance(percent);
+        if cut || late {
+            let no_response_event = no_response(&action);
+            self.schedule_in_ms(
+                160,
+                Event::AgentInput {
+                    agent,
+                    incarnation,
+                    event: no_response_event,
+                },
+            );
+            if late {
+                let delay_ms = self.rng.between(2_000, 12_000);
+                let response_lost = self.rng.percent_chance(30);
+                let delay_ms = if response_lost { 1 } else { delay_ms };
+                self.schedule_in_ms(
+                    delay_ms,
+                    Event::WorkerCall {
+                        worker: agent,
+                        incarnation,
+                        action,
+                        respond: false,
+                    },
+                );
+            }
+            return;
+        }
+        // A call that waits for ends is answered when the next tick of the model has some.
+        let delay_us = match &action {
+            ExecutionAction::Hold(call) if call.wait_ms > 0 => self.rng.between(300, 30_000),
+            _ => self.rng.between(100, 2_000),
+        };
+        let at = self.now.plus_micros(delay_us);
+        self.schedule_at(
+            at,
+            Event::WorkerCall {
+                worker: agent,
+                incarnation,
+                action,
+                respond: true,
+            },
+        );
+    }
+
+    fn execute_worker_call(
+        &mut self,
+        worker: usize,
+        incarnation: u64,
+        action: ExecutionAction,
+        respond: bool,
+    ) {
+        self.advance_worker(worker);
+        let now = self.now;
+        let event = if self.worker_alive[worker] {
+            match action {
+                ExecutionAction::Start(call) => {
+                    let answer = self.start_at_worker(worker, &call);
+                    ExecutionEvent::StartAnswered { call, answer }
+                }
+                ExecutionAction::Stop(call) => {
+                    let is_addressed = call.worker == self.workers[worker].life.id;
+                    let confirmed = is_addressed && self.workers[worker].stop(&call);
+                    ExecutionEvent::StopAnswered { call, confirmed }
+                }
+                ExecutionAction::Hold(call) => {
+                    let answer = if call.worker == self.workers[worker].life.id {
+                        self.workers[worker].hold(now, &call)
+                    } else {
+                        HoldResponse::OtherWorker
+                    };
+                    ExecutionEvent::HoldAnswered { call, answer }
+                }
+                _ => return,
+            }
+        } else {
+            no_response(&action)
+        };
+        if respond {
+            self.schedule_soon(Event::AgentInput {
+                agent: worker,
+                incarnation,
+                event,
+            });
+        }
+    }
+
+    fn start_at_worker(
+        &mut self,
+        worker: usize,
+        call: &crate::core::execution::StartCall,
+    ) -> StartResponse {
+        if call.worker != self.workers[worker].life.id {
+            return StartResponse::Rejected;
+        }
+        let now = self.now;
+        let run_ms = self
+            .clients
+            .iter()
+            .find(|client| client.job == call.task.job)
+            .map_or(100, |client| client.run_ms);
+        let outcome = if self.rng.percent_chance(3) {
+            RunOutcome::Failed
+        } else {
+            RunOutcome::Done
+        };
+        let (answer, started) = self.workers[worker].start(now, call, run_ms, outcome);
+        if started {
+            self.check_start(worker, call.task);
+        }
+        answer
+    }
+
+    fn check_start(&mut self, worker: usize, task: crate::core::work::TaskId) {
+        self.trace(format!("worker {worker}: begins {task}"));
+        self.report.start_count += 1;
+        self.report.started_jobs.insert(task.job);
+        let of_task = |client: &&ClientModel| client.job == task.job;
+        if let Some(client) = self.clients.iter().find(of_task)
+            && client.received_only_not_run()
+        {
+            let what = format!("{} begins after all its calls were refused", task.job);
+            self.report.report_violation(what);
+        }
+        for other in 0..WORKERS {
+            self.advance_worker(other);
+            if other != worker
+                && self.worker_alive[other]
+                && self.workers[other].at_work().contains_key(&task)
+            {
+                let what = format!("{task} runs twice, at workers {worker} and {other}");
+                self.report.report_violation(what);
+            }
+        }
+    }
+
+    fn advance_worker(&mut self, worker: usize) {
+        let now = self.now;
+        for task in self.workers[worker].advance(now) {
+            self.report.done_tasks.insert(task);
+        }
+    }
+
+    fn tick_worker(&mut self, worker: usize) {
+        self.advance_worker(worker);
+        self.schedule_in_ms(10, Event::WorkerTick { worker });
+    }
+
+    fn heartbeat(&mut self, worker: usize) {
+        self.schedule_in_ms(HEARTBEAT_INTERVAL_MS, Event::Heartbeat { worker });
+        if !self.worker_alive[worker] {
+            return;
+        }
+        let model = &mut self.workers[worker];
+        model.reports += 1;
+        let view = WorkerView {
+            life: model.life.clone(),
+            service: "shares".to_owned(),
+            availability_zone: ZONES[worker % ZONES.len()].to_owned(),
+            capacity: Resources {
+                cpu_milli: 1_000 * SLOTS_PER_WORKER as u32,
+                ..Resources::default()
+            },
+            labels: Vec::new(),
+            draining: model.draining,
+        };
+        let sequence = model.reports;
+        let incarnation = self.agents[worker].incarnation;
+        let event = ExecutionEvent::Heartbeat { view, sequence };
+        let delay_ms = if self.rng.percent_chance(5) {
+            self.rng.between(500, 4_000)
+        } else {
+            1
+        };
+        self.schedule_in_ms(
+            delay_ms,
+            Event::AgentInput {
+                agent: worker,
+                incarnation,
+                event,
+            },
+        );
+    }
+
+    fn restart_worker(&mut self, worker: usize, same_id: bool) {
+        let born_unix_ms = self.now.as_micros() / 1_000;
+        let old = &self.workers[worker];
+        let id = if same_id {
+            old.life.id.clone()
+        } else {
+            format!("w{worker}-{born_unix_ms}")
+        };
+        let slow_permille = self.rng.between(0, 21);
+        self.workers[worker] =
+            WorkerModel::new(self.now, id, born_unix_ms, slow_permille, SLOTS_PER_WORKER);
+        self.worker_alive[worker] = true;
+        self.schedule_in_ms(1, Event::Heartbeat { worker });
+    }
+
+    fn run_count_at(&self, worker: usize) -> usize {
+        if self.worker_alive[worker] {
+            self.workers[worker].at_work().len()
+        } else {
+            0
+        }
+    }
+
+    // Clients.
+
+    fn submit(&mut self, client: usize) {
+        let now = self.now;
+        let model = &self.clients[client];
+        if model.finished || model.pending_call.is_some() {
+            return;
+        }
+        let entry = self.rng.index(ENTRIES);
+        if self.entries[entry].machine.is_none() {
+            self.schedule_in_ms(50, Event::Submit { client });
+            return;
+        }
+        self.last_waiter_id += 1;
+        let call = (entry, self.entries[entry].incarnation, self.last_waiter_id);
+        let model = &mut self.clients[client];
+        model.pending_call = Some(call);
+        model.call_count += 1;
+        let submission = Submission {
+            waiter: WaiterId(call.2),
+            id: model.job,
+            request: request(model.tasks, model.run_ms),
+            route: Arc::new(route()),
+            time_left_ms: model.deadline.millis_since(now),
+        };
+        self.waiters.insert(call, client);
+        self.deliver_client_input(call, DispatchEvent::Submit(submission));
+    }
+
+    fn deliver_reply(&mut self, client: usize, call: (usize, u64, u64), answer: JobOutcome) {
+        if self.clients[client].pending_call != Some(call) {
+            return;
+        }
+        let (name, reason) = answer.name_and_reason();
+        *self.report.outcome_counts.entry(name).or_default() += 1;
+        self.trace(format!("client {client}: {name} {reason}"));
+        let model = &mut self.clients[client];
+        model.pending_call = None;
+        model.got_reply = true;
+        match answer {
+            JobOutcome::Completed => {
+                model.finished = true;
+                self.check_complete(client);
+            }
+            JobOutcome::Failed => model.finished = true,
+            JobOutcome::NotRun { retry_after_ms, .. } => {
+                model.not_run_count += 1;
+                model.finished = retry_after_ms == 0;
+                let (job, only_not_run) = (model.job, model.received_only_not_run());
+                if only_not_run && self.report.started_jobs.contains(&job) {
+                    self.report
+                        .report_violation(format!("{job} was refused and has begun"));
+                }
+                // It comes back when it was told to, if its patience lasts.
+                self.schedule_in_ms(retry_after_ms, Event::Submit { client });
+            }
+            JobOutcome::GivenUp(_) => self.schedule_in_ms(RETRY_DELAY_MS, Event::Submit { client }),
+        }
+    }
+
+    fn check_complete(&mut self, client: usize) {
+        let (job, tasks) = (self.clients[client].job, self.clients[client].tasks);
+        let done = self
+            .report
+            .done_tasks
+            .iter()
+            .filter(|task| task.job == job)
+            .count();
+        if done < usize::from(tasks) {
+            let what = format!("{job} is shown as completed with {done} of {tasks} tasks done");
+            self.report.report_violation(what);
+        }
+    }
+
+    /// The client's connection breaks: it sends the job again a little later.
+    fn disconnect_client(&mut self, client: usize) {
+        let Some(call) = self.clients[client].pending_call.take() else {
+            return;
+        };
+        self.notify_client_gone(call);
+        self.schedule_in_ms(RETRY_DELAY_MS, Event::Submit { client });
+    }
+
+    fn notify_client_gone(&mut self, call: (usize, u64, u64)) {
+        self.waiters.remove(&call);
+        let (entry, incarnation, waiter) = call;
+        if self.entries[entry].is_incarnation(incarnation) {
+            let waiter = WaiterId(waiter);
+            self.deliver_client_input(call, DispatchEvent::ClientGone { waiter });
+        }
+    }
+
+    /// Feeds an entry, or lets the event lie in its socket until it wakes and reads it.
+    fn deliver_client_input(&mut self, call: (usize, u64, u64), event: DispatchEvent) {
+        let (entry, incarnation, waiter) = call;
+        if !self.entries[entry].is_incarnation(incarnation) {
+            return;
+        }
+        let resumes_at = self.entries[entry].suspended_until;
+        if resumes_at <= self.now {
+            self.handle_entry_event(entry, event);
+            return;
+        }
+        // A call is read before the end of its connection, and both soon after the entry woke.
+        let read_delay_us = match event {
+            DispatchEvent::Submit(_) => waiter % 10_000,
+            _ => 10_000 + waiter % 10_000,
+        };
+        let at = resumes_at.plus_micros(read_delay_us);
+        self.schedule_at(at, Event::ClientInput { call, event });
+    }
+
+    fn expire_client(&mut self, client: usize) {
+        let model = &mut self.clients[client];
+        if !model.finished && !model.got_reply {
+            self.report.unanswered_clients += 1;
+        }
+        model.finished = true;
+        if let Some(call) = model.pending_call.take() {
+            self.notify_client_gone(call);
+        }
+    }
+
+    // Faults.
+
+    fn start_fault(&mut self, fault: Fault) {
+        self.trace(format!("FAULT {fault:?}"));
+        let now = self.now;
+        match fault {
+            Fault::KillEntry { entry, down_ms } => {
+                if self.entries[entry].machine.take().is_some() {
+                    self.reset_links(|link| link.entry == entry);
+                    self.disconnect_clients(entry);
+                    self.schedule_in_ms(down_ms, Event::StartEntry { entry });
+                }
+            }
+            Fault::KillAgent { agent, down_ms } => {
+                if self.agents[agent].machine.take().is_some() {
+                    self.reset_links(|link| link.agent == agent);
+                    self.schedule_in_ms(down_ms, Event::StartAgent { agent });
+                }
+            }
+            Fault::SuspendEntry { entry, for_ms } => {
+                let until = now.plus_ms(for_ms);
+                let process = &mut self.entries[entry];
+                process.suspended_until = process.suspended_until.max(until);
+                // Its clients hear nothing; half of them break off at once.
+                if self.rng.percent_chance(50) {
+                    self.disconnect_clients(entry);
+                }
+            }
+            Fault::SuspendAgent { agent, for_ms } => {
+                let until = now.plus_ms(for_ms);
+                let process = &mut self.agents[agent];
+                process.suspended_until = process.suspended_until.max(until);
+            }
+            Fault::StallLinks {
+                entry,
+                agent,
+                for_ms,
+            } => {
+                let until = now.plus_ms(for_ms);
+                self.stalled_links.insert((entry, agent), until);
+                for link in self.links.values_mut() {
+                    if link.entry == entry && link.agent == agent {
+                        link.stalled_until = until;
+                    }
+                }
+                self.delay_frames(entry, agent, until);
+            }
+            Fault::ResetLinks { entry, agent } => {
+                self.reset_links(|link| link.entry == entry && link.agent == agent);
+            }
+            Fault::CrashWorker {
+                worker,
+                down_ms,
+                same_id,
+            } => {
+                self.worker_alive[worker] = false;
+                self.schedule_in_ms(down_ms, Event::RestartWorker { worker, same_id });
+            }
+            Fault::LateCalls {
+                worker,
+                percent,
+                for_ms,
+            } => self.late_calls[worker] = (percent, now.plus_ms(for_ms)),
+            Fault::DisconnectWorker { worker, for_ms } => {
+                self.worker_disconnected_until[worker] = now.plus_ms(for_ms);
+            }
+            Fault::HangWorker { worker, for_ms } => {
+                self.workers[worker].hangs = true;
+                self.schedule_in_ms(for_ms, Event::EndFault(fault));
+            }
+            Fault::DrainWorker { worker } => {
+                self.workers[worker].draining = true;
+                self.schedule_in_ms(1, Event::Heartbeat { worker });
+                self.schedule_in_ms(2_500, Event::EndFault(fault));
+            }
+            Fault::ResetClients { entry } => self.disconnect_clients(entry),
+            Fault::EvacuateZone { for_ms } => {
+                self.evacuated_at = Some(now);
+                self.set_evacuated(true);
+                self.schedule_in_ms(for_ms, Event::EndFault(fault));
+            }
+        }
+    }
+
+    fn end_fault(&mut self, fault: Fault) {
+        match fault {
+            Fault::HangWorker { worker, .. } => self.workers[worker].hangs = false,
+            Fault::DrainWorker { worker } => {
+                self.worker_alive[worker] = false;
+                self.schedule_in_ms(
+                    1_000,
+                    Event::RestartWorker {
+                        worker,
+                        same_id: false,
+                    },
+                );
+            }
+            Fault::EvacuateZone { .. } => {
+                self.evacuated_at = None;
+                self.set_evacuated(false);
+            }
+            _ => {}
+        }
+    }
+
+    fn set_evacuated(&mut self, evacuated: bool) {
+        self.zones.version += 1;
+        if evacuated {
+            self.zones.evacuated.insert(ZONES[0].to_owned());
+        } else {
+            self.zones.evacuated.clear();
+        }
+        for entry in 0..ENTRIES {
+            let zones = self.zones.clone();
+            if self.entries[entry].suspended_until <= self.now {
+                self.handle_entry_event(entry, DispatchEvent::EvacuatedZones(zones));
+            }
+        }
+    }
+
+    fn disconnect_clients(&mut self, entry: usize) {
+        let affected_clients: Vec<usize> = (0..self.clients.len())
+            .filter(|client| {
+                self.clients[*client]
+                    .pending_call
+                    .is_some_and(|call| call.0 == entry)
+            })
+            .collect();
+        for client in affected_clients {
+            let delay_ms = self.rng.between(0, 50);
+            self.schedule_in_ms(delay_ms, Event::ClientDisconnect { client });
+        }
+    }
+
+    fn reset_links(&mut self, which: impl Fn(&LinkModel) -> bool) {
+        let matching: Vec<u64> = self
+            .links
+            .iter()
+            .filter(|(_, link)| which(link))
+            .map(|(link, _)| *link)
+            .collect();
+        for link in matching {
+            self.schedule_soon(Event::LinkLostAtEntry { link });
+            self.schedule_soon(Event::LinkLostAtAgent { link });
+        }
+    }
+
+    /// Moves frames that are on their way to the end of a silence, in order.
+    fn delay_frames(&mut self, entry: usize, agent: usize, until: Instant) {
+        let is_affected = |links: &BTreeMap<u64, LinkModel>, event: &Event| {
+            let link = match event {
+                Event::FrameToEntry { link, .. }
+                | Event::FrameToAgent { link, .. }
+                | Event::LinkLostAtEntry { link }
+                | Event::LinkLostAtAgent { link } => link,
+                _ => return false,
+            };
+            links
+                .get(link)
+                .is_some_and(|link| link.entry == entry && link.agent == agent)
+        };
+        let delayed: Vec<(Instant, u64)> = self
+            .events
+            .iter()
+            .filter(|(key, event)| key.0 < until && is_affected(&self.links, event))
+            .map(|(key, _)| *key)
+            .collect();
+        for key in delayed {
+            if let Some(event) = self.events.remove(&key) {
+                self.events.insert((until, key.1), event);
+            }
+        }
+    }
+}
+
+fn no_response(action: &ExecutionAction) -> ExecutionEvent {
+    match action.clone_call() {
+        ExecutionAction::Start(call) => ExecutionEvent::StartAnswered {
+            call,
+            answer: StartResponse::Unanswered,
+        },
+        ExecutionAction::Stop(call) => ExecutionEvent::StopAnswered {
+            call,
+            confirmed: false,
+        },
+        ExecutionAction::Hold(call) => ExecutionEvent::HoldAnswered {
+            call,
+            answer: HoldResponse::Unanswered,
+        },
+        _ => ExecutionEvent::Tick,
+    }
+}
+
+impl ExecutionAction {
+    /// A copy of a call to the worker; of anything else, a tick's worth of nothing.
+    fn clone_call(&self) -> Self {
+        match self {
+            Self::Start(call) => Self::Start(call.clone()),
+            Self::Stop(call) => Self::Stop(call.clone()),
+            Self::Hold(call) => Self::Hold(call.clone()),
+            _ => Self::Close {
+                session: SessionId(0),
+            },
+        }
+    }
+}
+
+fn route() -> Route {
+    Route {
+        name: "shares".to_owned(),
+        host: "a.example".to_owned(),
+        path_prefix: "/".to_owned(),
+        service: "shares".to_owned(),
+        timeout_ms: 1_500,
+        max_attempts: 3,
+        priority: 0,
+        stretch: 1.6,
+        target_ms: 60,
+        needs_advice: false,
+    }
+}
+
+fn request(tasks: u16, run_ms: u64) -> JobRequest {
+    let step = StepSpec {
+        tasks,
+        needs: Resources {
+            cpu_milli: 1_000,
+            ..Resources::default()
+        },
+        estimate_ms: run_ms,
+        after: Vec::new(),
+        required_label: None,
+        data_rack: None,
+        most_per_worker: 0,
+    };
+    JobRequest {
+        spec: Arc::from("spec"),
+        steps: vec![step],
+        unsupported: None,
+    }
+}
