--- a/src/core/tests/faults.rs
+++ b/src/core/tests/faults.rs
@@ -1,11 +1,10 @@
-//! What goes wrong in a run.
+//! Faults that a simulation injects.
 
 use super::seeded_rng::SeededRng;
 
-/// A fault at one place.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Fault {
-    /// A process is killed and starts again.
+    /// The process is killed and restarts after `down_ms`.
     KillEntry {
         entry: usize,
         down_ms: u64,
@@ -14,7 +13,7 @@
         agent: usize,
         down_ms: u64,
     },
-    /// A host is suspended; only its clock goes on.
+    /// The host is suspended; its clock keeps running.
     SuspendEntry {
         entry: usize,
         for_ms: u64,
@@ -23,55 +22,55 @@
         agent: usize,
         for_ms: u64,
     },
-    /// All sessions between two processes stay silent for a while, new ones too.
+    /// Sessions between the two processes, new ones too, deliver nothing for `for_ms`.
     StallLinks {
         entry: usize,
         agent: usize,
         for_ms: u64,
     },
-    /// Their sessions break.
+    /// Sessions between the two processes disconnect.
     ResetLinks {
         entry: usize,
         agent: usize,
     },
-    /// A worker crashes and begins anew, under its name or another.
+    /// The worker crashes and restarts with the same or another id.
     CrashWorker {
         worker: usize,
         down_ms: u64,
         same_id: bool,
     },
-    /// A share of the calls to a worker is not answered; most are carried out seconds later.
+    /// A share of the calls to the worker gets no response; most are executed seconds later.
     LateCalls {
         worker: usize,
         percent: u64,
         for_ms: u64,
     },
-    /// A worker can't be reached and runs on.
+    /// The worker is unreachable but keeps running.
     DisconnectWorker {
         worker: usize,
         for_ms: u64,
     },
-    /// What runs at a worker stands still.
+    /// Runs at the worker make no progress.
     HangWorker {
         worker: usize,
         for_ms: u64,
     },
-    /// A worker says that it ends, and does a little later.
+    /// The worker reports that it is draining and stops later.
     DrainWorker {
         worker: usize,
     },
-    /// Connections of all clients of an entry break.
+    /// Connections of all clients of the entry disconnect.
     ResetClients {
         entry: usize,
     },
-    /// A zone is taken out and comes back.
+    /// A zone is evacuated for `for_ms`.
     EvacuateZone {
         for_ms: u64,
     },
 }
 
 impl Fault {
-    /// Any fault.
+    /// Returns a random fault.
     pub(super) fn random(rng: &mut SeededRng, entries: usize, workers: usize) -> Self {
         let (entry, agent) = (rng.index(entries), rng.index(workers));
         let worker = agent;
--- a/src/core/tests/link_model.rs
+++ b/src/core/tests/link_model.rs
@@ -2,23 +2,22 @@
 
 use crate::core::time::Instant;
 
-/// One session. Frames arrive in order; a silent one holds them until it heals or is closed.
+/// One session. Frames arrive in order; a stalled session delays them until the stall ends.
 #[derive(Debug)]
 pub(super) struct LinkModel {
     pub(super) entry: usize,
     pub(super) agent: usize,
-    /// Lives of both processes when it was opened; another life has nothing to do with it.
+    /// Incarnations of the entry and the agent that opened it.
     pub(super) incarnations: (u64, u64),
-    /// Nothing arrives before then.
     pub(super) stalled_until: Instant,
-    /// When the newest frame of each direction arrives: to the entry, to the agent.
+    /// Arrival of the last frame in each direction: to the entry, to the agent.
     pub(super) last_arrival: [Instant; 2],
     pub(super) open_at_entry: bool,
     pub(super) open_at_agent: bool,
 }
 
 impl LinkModel {
-    /// When a frame that is sent now arrives.
+    /// Returns the arrival time of a frame sent now.
     pub(super) fn schedule_arrival(
         &mut self,
         now: Instant,
--- a/src/core/tests/mod.rs
+++ b/src/core/tests/mod.rs
@@ -1,7 +1,7 @@
-//! A seeded harness: several entries, agents and workers as machines in simulated time, with faults.
+//! Deterministic simulation of entries, agents and workers with injected faults.
 //!
-//! What a run checks while it goes on: no task ever runs twice at once, an answer "completed" is whole, a
-//! job that was only ever refused has not run, every client hears in time, and nothing stays behind.
+//! Invariants: no task has two concurrent runs, a job reported as completed has all its tasks done, a
+//! job reported only as not run has never started, every client finishes in time, and no run remains.
 
 mod client_model;
 mod faults;
--- a/src/core/tests/seeds.rs
+++ b/src/core/tests/seeds.rs
@@ -1,13 +1,12 @@
-//! Runs of the harness.
+//! Simulations over ranges of seeds.
 
 use {
     super::simulation::{JOBS, Setup, Simulation},
     crate::core::work::RunLimits,
 };
 
-/// Seeds that every test run plays.
 const FIXED_SEEDS: u64 = 250;
-/// Seeds within which a naive entry must be caught.
+/// Seeds within which an unsafe setup must cause a double run.
 const DETECTION_SEEDS: u64 = 100;
 
 fn simulate(seed: u64, setup: Setup) -> Simulation {
@@ -39,23 +38,23 @@
             *outcome_counts.entry(outcome).or_insert(0) += u64::from(count);
         }
     }
-    // The runs are worth something: nearly all jobs are served in spite of the faults, and some are not.
+    // Most jobs complete despite the faults, and the faults prevent some.
     let jobs = FIXED_SEEDS * JOBS;
     assert!(
         outcome_counts["completed"] * 100 > jobs * 90,
         "{outcome_counts:?}"
     );
     assert!(outcome_counts.contains_key("not_run"), "{outcome_counts:?}");
-    // Few clients wait in vain: what can't be served is said.
+    // Clients whose job can't run get a reply instead of a timeout.
     assert!(
         unanswered * 100 < jobs * 3,
-        "{unanswered} of {jobs} heard nothing"
+        "{unanswered} of {jobs} got no reply"
     );
 }
 
-/// `RATTANSLIP_SEEDS=FIRST..END cargo test --release more_seeds -- --ignored` plays others.
+/// `RATTANSLIP_SEEDS=FIRST..END cargo test --release more_seeds -- --ignored` runs other seeds.
 #[test]
-#[ignore = "plays thousands of seeds by hand"]
+#[ignore = "runs thousands of seeds; started by hand"]
 fn more_seeds_on_demand() {
     let range = std::env::var("RATTANSLIP_SEEDS").unwrap_or_else(|_| "1000..4000".to_owned());
     let (first, end) = range.split_once("..").expect("FIRST..END");
@@ -74,8 +73,8 @@
     assert!(failed.is_empty(), "{failed:?}");
 }
 
-/// An entry that starts a task elsewhere as soon as its agent is silent, as a first version would:
-/// the agent runs it on, and two runs of the task are at work. The harness must see that.
+/// An entry that restarts a task without waiting for the lease of an unresponsive agent causes two
+/// concurrent runs; the simulation must report them.
 #[test]
 fn double_run_is_detected_if_entry_does_not_wait_for_the_lease() {
     let unsafe_setup = Setup {
@@ -90,8 +89,8 @@
     assert!(detects_double_run(unsafe_setup));
 }
 
-/// An agent that runs tasks on for as long as their job has time, whatever it hears from the entry: a
-/// client of an entry that was cut off sends its job to another, and two runs are at work.
+/// An agent that keeps running tasks long after it lost contact with the entry causes two concurrent
+/// runs when the client resends the job to another entry; the simulation must report them.
 #[test]
 fn double_run_is_detected_if_agent_ignores_lost_contact() {
     let production = Setup::production();
--- a/src/core/tests/simulation.rs
+++ b/src/core/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated world.
+//! The simulated processes, their network and the event queue.
 
 use {
     super::{
@@ -32,21 +32,20 @@
 
 const ENTRIES: usize = 3;
 const WORKERS: usize = 4;
-/// Tasks that a worker runs at a time.
 const SLOTS_PER_WORKER: usize = 4;
 const ZONES: [&str; 2] = ["north", "south"];
-/// Time in which jobs come and faults begin, in milliseconds.
+/// Period in which jobs arrive and faults start, in milliseconds.
 const LOAD_DURATION_MS: u64 = 12_000;
-/// Time after which all must be over, in milliseconds.
+/// All jobs must have finished by then, in milliseconds.
 const SIMULATION_DURATION_MS: u64 = 32_000;
 pub(super) const JOBS: u64 = 60;
 const FAULTS: u64 = 7;
 const TICK_MS: u64 = 20;
 const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
-/// Time in which an agent that starts reads what an earlier process knew of its worker, in milliseconds.
+/// Delay until a starting agent has read the stored view of its worker, in milliseconds.
 const WORKER_VIEW_READ_MS: u64 = 8;
 
-/// Who goes by which bounds.
+/// Run limits that entries and agents use.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Setup {
     pub(super) entry_limits: RunLimits,
@@ -54,7 +53,7 @@
 }
 
 impl Setup {
-    /// As shipped.
+    /// Limits as in production.
     pub(super) fn production() -> Self {
         let limits = RunLimits::for_resend(RETRY_DELAY_MS, 50);
         Self {
@@ -159,7 +158,6 @@
     }
 }
 
-/// Everything, at one moment.
 #[derive(Debug)]
 pub(super) struct Simulation {
     setup: Setup,
@@ -174,7 +172,7 @@
     agent_connected: Vec<bool>,
     late_calls: Vec<(u64, Instant)>,
     worker_disconnected_until: Vec<Instant>,
-    /// What agents have kept of their workers.
+    /// Worker views that agents have persisted.
     stored_worker_views: BTreeMap<usize, WorkerView>,
     stalled_links: BTreeMap<(usize, usize), Instant>,
     links: BTreeMap<u64, LinkModel>,
@@ -264,7 +262,7 @@
         self.clients.push(ClientModel {
             job: JobId(number + 1),
             tasks: self.rng.between(1, 4) as u16,
-            // One job in four runs longer than a client waits before it sends a job again.
+            // One job in four may run longer than `RETRY_DELAY_MS`.
             run_ms: if self.rng.percent_chance(25) {
                 self.rng.between(900, 3_000)
             } else {
@@ -303,7 +301,7 @@
         self.report.trace.push(format!("{at_ms:10.1} {what}"));
     }
 
-    /// Plays to the end, or to the first broken promise.
+    /// Runs to the end or the first violation.
     pub(super) fn run(&mut self) {
         let end = self.now.plus_ms(SIMULATION_DURATION_MS);
         while let Some(((when, _), event)) = self.events.pop_first() {
@@ -322,14 +320,14 @@
         for client in 0..self.clients.len() {
             if !self.clients[client].finished {
                 self.report
-                    .report_violation(format!("client {client} never heard"));
+                    .report_violation(format!("client {client} never finished"));
             }
         }
         for worker in 0..WORKERS {
             let remaining = self.run_count_at(worker);
             if remaining > 0 {
                 self.report
-                    .report_violation(format!("{remaining} runs are left at worker {worker}"));
+                    .report_violation(format!("{remaining} runs remain at worker {worker}"));
             }
         }
         let open: usize = self
@@ -345,7 +343,7 @@
             .map(Executor::run_count)
             .sum();
         if open + runs > 0 {
-            let what = format!("{open} jobs at entries and {runs} runs at agents are left");
+            let what = format!("{open} jobs at entries and {runs} runs at agents remain");
             self.report.report_violation(what);
         }
     }
@@ -356,7 +354,7 @@
                 if self.entries[entry].is_incarnation(incarnation) {
                     let resumes_at = self.entries[entry].suspended_until;
                     if resumes_at > self.now {
-                        // Others of the events that wait go first.
+                        // Events that were queued before the tick go first.
                         self.schedule_at(resumes_at, Event::EntryTick { entry, incarnation });
                         return;
                     }
@@ -440,7 +438,6 @@
         self.handle_entry_event(entry, DispatchEvent::Document(document));
     }
 
-    /// Feeds an entry now, or when it wakes.
     fn handle_entry_event(&mut self, entry: usize, event: DispatchEvent) {
         let now = self.now;
         let process = &mut self.entries[entry];
@@ -574,7 +571,7 @@
         }
     }
 
-    /// Dials all entries, unless this life of the agent has done so.
+    /// Connects to all entries, once per incarnation of the agent.
     fn connect_to_all_entries(&mut self, agent: usize) {
         if std::mem::replace(&mut self.agent_connected[agent], true) {
             return;
@@ -739,7 +736,7 @@
 
     // Workers.
 
-    /// Sends a call; it may be lost, answered, or carried out seconds later without an answer.
+    /// Sends a call; it may be lost, answered, or executed later without a response.
     fn call_worker(&mut self, agent: usize, action: ExecutionAction) {
         let incarnation = self.agents[agent].incarnation;
         let (percent, until) = self.late_calls[agent];
@@ -771,7 +768,7 @@
             }
             return;
         }
-        // A call that waits for ends is answered when the next tick of the model has some.
+        // A long poll is answered after a later tick of the worker.
         let delay_us = match &action {
             ExecutionAction::Hold(call) if call.wait_ms > 0 => self.rng.between(300, 30_000),
             _ => self.rng.between(100, 2_000),
@@ -857,14 +854,17 @@
     }
 
     fn check_start(&mut self, worker: usize, task: crate::core::work::TaskId) {
-        self.trace(format!("worker {worker}: begins {task}"));
+        self.trace(format!("worker {worker}: starts {task}"));
         self.report.start_count += 1;
         self.report.started_jobs.insert(task.job);
         let of_task = |client: &&ClientModel| client.job == task.job;
         if let Some(client) = self.clients.iter().find(of_task)
             && client.received_only_not_run()
         {
-            let what = format!("{} begins after all its calls were refused", task.job);
+            let what = format!(
+                "{} starts after all its calls were answered with not_run",
+                task.job
+            );
             self.report.report_violation(what);
         }
         for other in 0..WORKERS {
@@ -1001,9 +1001,8 @@
                 let (job, only_not_run) = (model.job, model.received_only_not_run());
                 if only_not_run && self.report.started_jobs.contains(&job) {
                     self.report
-                        .report_violation(format!("{job} was refused and has begun"));
+                        .report_violation(format!("{job} was reported as not run but has started"));
                 }
-                // It comes back when it was told to, if its patience lasts.
                 self.schedule_in_ms(retry_after_ms, Event::Submit { client });
             }
             JobOutcome::GivenUp(_) => self.schedule_in_ms(RETRY_DELAY_MS, Event::Submit { client }),
@@ -1019,12 +1018,12 @@
             .filter(|task| task.job == job)
             .count();
         if done < usize::from(tasks) {
-            let what = format!("{job} is shown as completed with {done} of {tasks} tasks done");
+            let what = format!("{job} is reported as completed with {done} of {tasks} tasks done");
             self.report.report_violation(what);
         }
     }
 
-    /// The client's connection breaks: it sends the job again a little later.
+    /// Disconnects the client, which resends the job later.
     fn disconnect_client(&mut self, client: usize) {
         let Some(call) = self.clients[client].pending_call.take() else {
             return;
@@ -1042,7 +1041,7 @@
         }
     }
 
-    /// Feeds an entry, or lets the event lie in its socket until it wakes and reads it.
+    /// Passes the event to the entry now, or soon after a suspended entry resumes.
     fn deliver_client_input(&mut self, call: (usize, u64, u64), event: DispatchEvent) {
         let (entry, incarnation, waiter) = call;
         if !self.entries[entry].is_incarnation(incarnation) {
@@ -1053,7 +1052,7 @@
             self.handle_entry_event(entry, event);
             return;
         }
-        // A call is read before the end of its connection, and both soon after the entry woke.
+        // A call is read before the end of its connection.
         let read_delay_us = match event {
             DispatchEvent::Submit(_) => waiter % 10_000,
             _ => 10_000 + waiter % 10_000,
@@ -1096,7 +1095,7 @@
                 let until = now.plus_ms(for_ms);
                 let process = &mut self.entries[entry];
                 process.suspended_until = process.suspended_until.max(until);
-                // Its clients hear nothing; half of them break off at once.
+                // In half of the cases its clients disconnect at once.
                 if self.rng.percent_chance(50) {
                     self.disconnect_clients(entry);
                 }
@@ -1220,7 +1219,7 @@
         }
     }
 
-    /// Moves frames that are on their way to the end of a silence, in order.
+    /// Delays frames in flight to the end of a stall and keeps their order.
     fn delay_frames(&mut self, entry: usize, agent: usize, until: Instant) {
         let is_affected = |links: &BTreeMap<u64, LinkModel>, event: &Event| {
             let link = match event {
@@ -1267,7 +1266,7 @@
 }
 
 impl ExecutionAction {
-    /// A copy of a call to the worker; of anything else, a tick's worth of nothing.
+    /// Returns a copy of a call to the worker; for other actions, an unused placeholder.
     fn clone_call(&self) -> Self {
         match self {
             Self::Start(call) => Self::Start(call.clone()),
--- a/src/core/tests/simulation_report.rs
+++ b/src/core/tests/simulation_report.rs
@@ -1,21 +1,21 @@
-//! What a run has found.
+//! Results of a simulation.
 
 use {
     crate::core::work::{JobId, TaskId},
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Facts and broken promises of one run.
+/// Trace, violated invariants and counts of one simulation.
 #[derive(Debug, Default)]
 pub(super) struct SimulationReport {
     pub(super) trace: Vec<String>,
     pub(super) violations: Vec<String>,
-    /// Ends of tasks that the workers have reached.
+    /// Tasks that a worker has finished successfully.
     pub(super) done_tasks: BTreeSet<TaskId>,
-    /// Jobs of which a task has begun.
+    /// Jobs with at least one started task.
     pub(super) started_jobs: BTreeSet<JobId>,
     pub(super) outcome_counts: BTreeMap<&'static str, u32>,
-    /// Clients that stopped waiting without any answer.
+    /// Clients that timed out without any reply.
     pub(super) unanswered_clients: u32,
     pub(super) start_count: u32,
 }
@@ -26,7 +26,7 @@
         self.violations.push(what);
     }
 
-    /// The last lines that speak of the job, for a person.
+    /// Returns the last lines of the trace.
     pub(super) fn trace_tail(&self, lines: usize) -> String {
         let from = self.trace.len().saturating_sub(lines);
         self.trace[from..].join("\n")
