--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -1,4 +1,4 @@
-//! How the agent's other parts reach its two loops.
+//! Access to the home and runner loops for the other parts of the agent.
 
 use {
     super::{
@@ -24,28 +24,28 @@
     tokio::sync::{Notify, mpsc, oneshot},
 };
 
-/// Silence after which a backend server counts as gone, in milliseconds.
+/// Time without an announcement after which the backend server counts as unavailable, in milliseconds.
 const BACKEND_TIMEOUT_MS: u64 = 3_000;
 
-/// Sends to the loops of home and runner.
+/// State shared by the agent's tasks, with the inputs of the home and runner loops.
 #[derive(Debug)]
 pub(crate) struct AgentHandle {
     pub(crate) id: AgentId,
     pub(crate) homes: HomeRoutes,
     pub(crate) starter: HomeStarter,
-    /// Where entries say that this agent's homes could move.
+    /// Agents that entries last named as possible successors of this agent's homes.
     pub(crate) successors: Mutex<Vec<SocketAddr>>,
     pub(crate) home: mpsc::UnboundedSender<HomeInput>,
     pub(crate) runner: mpsc::UnboundedSender<RunnerInput>,
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) slots_limit: u16,
-    /// Wakes the announcer before its next tick.
+    /// Triggers an announcement before the next tick.
     pub(crate) announce_now: Notify,
     pub(crate) backend_announced_at: Mutex<Option<Instant>>,
 }
 
 impl AgentHandle {
-    /// The backend server announced itself.
+    /// Records an announcement of the backend server.
     pub(crate) fn register_backend(&self, services: Vec<String>, slots: u16) {
         let is_new = self
             .lock_backend_announced_at()
@@ -54,21 +54,21 @@
         let slots = slots.min(self.slots_limit);
         self.notify_runner(RunnerEvent::BackendUp { services, slots });
         if is_new {
-            log::info!("backend server announced itself");
+            log::info!("backend server registered");
             self.announce_now.notify_one();
         }
     }
 
-    /// The backend server said that it leaves.
+    /// Removes the backend server after its leave call or a timeout.
     pub(crate) fn remove_backend(&self) {
         if self.lock_backend_announced_at().take().is_some() {
-            log::info!("backend server is gone");
+            log::info!("backend server removed");
             self.notify_runner(RunnerEvent::BackendGone);
             self.announce_now.notify_one();
         }
     }
 
-    /// Counts the backend server as gone if it has been silent for too long.
+    /// Removes the backend server if its last announcement is older than `BACKEND_TIMEOUT_MS`.
     pub(crate) fn check_backend_timeout(&self) {
         let announced_at = *self.lock_backend_announced_at();
         if let Some(announced_at) = announced_at
@@ -78,14 +78,14 @@
         }
     }
 
-    /// No new tasks from now on, and tickets of this home are no longer handed out. Jobs under
-    /// those that are out are taken until the home has moved.
+    /// Rejects new tasks and announces the shutdown, so that entries issue no more tickets of this
+    /// home. Jobs with tickets issued earlier are accepted until the home has moved.
     pub(crate) fn start_shutdown(&self) {
         self.notify_runner(RunnerEvent::Shutdown);
         self.announce_now.notify_one();
     }
 
-    /// An entry told that tasks may start here, or no longer.
+    /// Applies an entry's notice that task starts are allowed or stopped for this agent.
     pub(crate) fn apply_gate_notice(&self, notice: GateNotice) {
         self.notify_runner(RunnerEvent::PermitRenewed {
             sent_at: self.timer.now(),
@@ -94,52 +94,52 @@
             permit_ms: 0,
         });
         if notice.zone_open {
-            // The permit itself comes with the reply to an announcement.
+            // The permit is granted in the reply to an announcement.
             self.announce_now.notify_one();
         }
     }
 
-    /// Feeds the runner.
+    /// Sends an event to the runner loop.
     pub(crate) fn notify_runner(&self, event: RunnerEvent) {
-        // The loops end only with the process.
+        // The receiver is dropped only when the process exits.
         let _ = self.runner.send(RunnerInput::Event(event));
     }
 
-    /// Feeds the home.
+    /// Sends an event to the loop of the agent's own home.
     pub(crate) fn notify_home(&self, event: HomeEvent) {
-        // The loops end only with the process.
+        // The receiver is dropped only when the process exits.
         let _ = self.home.send(HomeInput::Event(event));
     }
 
-    /// How the runner stands.
+    /// Requests the runner's current state; `None` when its loop has stopped.
     pub(crate) async fn snapshot(&self) -> Option<RunnerSnapshot> {
         let (reply, snapshot) = oneshot::channel();
         self.runner.send(RunnerInput::Snapshot(reply)).ok()?;
         snapshot.await.ok()
     }
 
-    /// Tickets for the next announcement.
+    /// Requests tickets for the next announcement.
     pub(crate) async fn grant(&self, count: u32) -> Option<TicketGrant> {
         let (reply, grant) = oneshot::channel();
         self.home.send(HomeInput::Grant(count, reply)).ok()?;
         grant.await.ok()?
     }
 
-    /// Homes of stopped processes that this one answers for.
+    /// Returns homes of other processes that this process has adopted.
     pub(crate) fn adopted_homes(&self) -> Vec<AgentId> {
         let mut homes = self.homes.local_homes();
         homes.retain(|home| *home != self.id);
         homes
     }
 
-    /// An entry named agents that could take over this one's homes.
+    /// Records the agents that an entry named as successors; an empty list changes nothing.
     pub(crate) fn record_successors(&self, successors: &[SocketAddr]) {
         if !successors.is_empty() {
             successors.clone_into(&mut self.lock_successors());
         }
     }
 
-    /// Agents that could take over this one's homes.
+    /// Returns the agents that may adopt this agent's homes.
     pub(crate) fn successors(&self) -> Vec<SocketAddr> {
         self.lock_successors().clone()
     }
@@ -150,7 +150,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Jobs at the homes of this process that have not ended.
+    /// Counts unfinished jobs in the homes of this process.
     pub(crate) async fn running_job_count(&self) -> usize {
         let mut total = 0;
         for home in self.homes.local_homes() {
@@ -161,7 +161,7 @@
         total
     }
 
-    /// Whether a backend server is there.
+    /// Returns whether a backend server is available and the agent isn't shutting down.
     pub(crate) async fn is_ready(&self) -> bool {
         self.snapshot()
             .await
--- a/src/agent/announcer.rs
+++ b/src/agent/announcer.rs
@@ -16,17 +16,13 @@
     tokio::time::timeout,
 };
 
-/// Pause between announcements, in milliseconds.
 const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
-/// Time after which an announcement counts as lost, in milliseconds; the next entry is tried
-/// well before the permit of the last announcement ends.
+/// Response timeout in milliseconds; short enough to try another entry before the permit expires.
 const ANNOUNCE_TIMEOUT_MS: u64 = 600;
-/// Entries tried for one announcement.
 const MAX_ENTRIES_TRIED: usize = 3;
-/// Tickets granted with each announcement.
 const TICKETS_PER_GRANT: u32 = 4_096;
 
-/// Announces one agent.
+/// Sends periodic announcements to one entry at a time.
 #[derive(Debug)]
 pub(crate) struct Announcer {
     pub(crate) id: AgentId,
@@ -34,9 +30,8 @@
     pub(crate) availability_zone: String,
     pub(crate) peer_addr: SocketAddr,
     pub(crate) entries: EntryChoice,
-    /// Digest of the roster held, zero for none.
+    /// Digest of the last received roster; zero for none.
     pub(crate) roster_digest: u64,
-    /// Number of the last announcement.
     pub(crate) last_number: u64,
     pub(crate) agent: Arc<AgentHandle>,
     pub(crate) network: Arc<dyn PeerNetwork>,
@@ -44,11 +39,11 @@
     pub(crate) metrics: Arc<dyn Metrics>,
 }
 
-/// How an announcement to one entry went.
+/// Outcome of one announcement, as counted in the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AnnounceOutcome {
     Answered,
-    /// The entry can't vouch for the configuration now: no permit came back.
+    /// The entry granted no permit because it can't confirm the current configuration.
     NoPermit,
     Unsupported,
     Unreachable,
@@ -68,7 +63,7 @@
 }
 
 impl Announcer {
-    /// Announces every second, and at once when something changed.
+    /// Announces every `ANNOUNCE_INTERVAL_MS` and when `announce_now` is notified.
     pub(crate) async fn run(mut self) {
         let mut ticks = self.timer.subscribe(ANNOUNCE_INTERVAL_MS);
         loop {
@@ -83,7 +78,7 @@
         }
     }
 
-    /// Announces to one entry; to the next one if it doesn't answer or grants no permit.
+    /// Announces to the next entry, and to others if it fails or grants no permit.
     async fn announce(&mut self) -> Option<()> {
         let entries = self.entries.next_round(self.timer.now());
         for entry in entries.into_iter().take(MAX_ENTRIES_TRIED) {
--- a/src/agent/hand_over.rs
+++ b/src/agent/hand_over.rs
@@ -1,4 +1,4 @@
-//! A leaving agent's homes on their way to a successor.
+//! Hand-over of homes from a stopping agent to a successor.
 
 use {
     super::{AgentHandle, home_loop::HomeInput, home_routes::Adoption},
@@ -18,22 +18,19 @@
     },
 };
 
-/// How long to wait for an entry to name successors, in milliseconds.
 const SUCCESSORS_TIMEOUT_MS: u64 = 2_000;
-/// Pause between looks and between offers, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 20;
-/// Time after which an offer is repeated, in milliseconds.
 const OFFER_TIMEOUT_MS: u64 = 5_000;
 
 impl AgentHandle {
-    /// Goes on with a home that leaves elsewhere; `false` if this process is leaving, too.
+    /// Adopts the home of a stopping agent; returns `false` if this process is stopping, too.
     pub(crate) fn adopt(self: &Arc<Self>, records: HomeRecords) -> bool {
         let home = records.home;
         let adoption = self.homes.adopt(home, || {
             let (inputs, running) = self.starter.start_adopted(records);
             let agent = Arc::clone(self);
             tokio::spawn(async move {
-                // Ends when the home's tickets are over, or when it has moved on.
+                // The loop ends when all tickets have expired, or when the home has moved.
                 if running.await.is_ok() && agent.homes.local_homes().contains(&home) {
                     agent.homes.remove(home);
                 }
@@ -41,20 +38,20 @@
             inputs
         });
         if adoption == Adoption::New {
-            log::info!(home:? = home; "took over a leaving home");
+            log::info!(home:? = home; "adopted home of a stopping agent");
             self.announce_now.notify_one();
         }
         adoption != Adoption::Rejected
     }
 
-    /// Moves all homes of this process to a successor, as far as one is found before `until`.
+    /// Moves all homes of this process to successors that accept them before `deadline`.
     pub(crate) async fn hand_over_homes(self: &Arc<Self>, deadline: Instant) {
         self.homes.stop_adopting();
         let successors = self.wait_for_successors(deadline).await;
         for home in self.homes.local_homes() {
             self.hand_over(home, &successors, deadline).await;
         }
-        // Entries learn at once that this process answers for nobody any more.
+        // Tells entries without delay that this process owns no homes.
         self.announce_now.notify_one();
     }
 
@@ -77,7 +74,7 @@
     ) {
         if successors.is_empty() {
             self.notify_home(HomeEvent::Shutdown);
-            log::warn!(home:? = home; "no successor: its jobs end here");
+            log::warn!(home:? = home; "no successor available; shutting down the home");
             return;
         }
         let Some((inputs, moved_to)) = self.homes.start_move(home) else {
@@ -97,14 +94,14 @@
                 HandOverOutcome::Accepted => return self.finish_move(home, *successor, &moved_to),
                 HandOverOutcome::Rejected => {}
                 HandOverOutcome::Unknown => {
-                    log::warn!(home:? = home, successor:% = successor; "hand-over without a reply");
+                    log::warn!(home:? = home, successor:% = successor; "hand-over outcome unknown: no reply from the successor");
                     return;
                 }
             }
         }
-        log::warn!(home:? = home; "no successor took over: its jobs end here");
+        log::warn!(home:? = home; "no successor accepted the home; shutting it down");
         let (inputs, _) = self.starter.start_adopted(*records);
-        // The loop ends only with the process.
+        // The receiver is dropped only when the process exits.
         let _ = inputs.send(HomeInput::Event(HomeEvent::Shutdown));
         self.homes.set_local(home, inputs);
     }
@@ -120,12 +117,11 @@
     }
 }
 
-/// Offers the records to one successor until it is known whether it has them, or time is up.
+/// Offers a home's records to one successor until the outcome is known or the deadline passes.
 ///
-/// Guards against two processes that run the same jobs: once an offer may have arrived, no
-/// other successor is asked and this process doesn't go on with the home either. Repeating
-/// the offer to the same one is harmless, and only its own word that it has the home counts:
-/// a refusal may come from a process that has taken its place.
+/// Once an offer may have arrived, only this successor is retried: a second owner of the home
+/// would run its jobs twice. Adopting is idempotent. A rejection after a possible arrival proves
+/// nothing, because a restarted process may have sent it.
 pub(super) async fn offer_home(
     network: &dyn PeerNetwork,
     to: SocketAddr,
@@ -154,13 +150,13 @@
     }
 }
 
-/// What became of an offer.
+/// Outcome of a home's offer to one successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HandOverOutcome {
-    /// The successor answers for the home.
+    /// The successor owns the home.
     Accepted,
-    /// It surely doesn't.
+    /// The successor didn't adopt the home.
     Rejected,
-    /// It may.
+    /// The successor may have adopted the home.
     Unknown,
 }
--- a/src/agent/home_loop.rs
+++ b/src/agent/home_loop.rs
@@ -1,4 +1,4 @@
-//! Drives the home machine: feeds events in and carries actions out.
+//! Event loop of a home: passes events to its state machine and executes the actions.
 
 use {
     crate::{
@@ -14,36 +14,36 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Resolution of the home's deadlines, in milliseconds.
+/// Resolution of the home's deadlines.
 const TICK_MS: u64 = 5;
 
-/// Makes an event out of the waiter that its reply goes to.
+/// Builds an event for the waiter that receives the reply.
 pub(crate) type EventBuilder = Box<dyn FnOnce(WaiterId) -> HomeEvent + Send>;
 
-/// What the loop takes in.
+/// Input of the loop.
 pub(crate) enum HomeInput {
-    /// A request of an entry, with where its reply goes.
+    /// A request of an entry, with the channel for its reply.
     Request(EventBuilder, oneshot::Sender<JobStatus>),
     /// An event without a reply.
     Event(HomeEvent),
-    /// A session is open; frames go out here.
+    /// A session was opened; `outgoing` sends its frames.
     SessionOpened {
         runner: AgentId,
         epoch: u64,
         outgoing: mpsc::UnboundedSender<HomeFrame>,
     },
-    /// A request for tickets to announce.
+    /// Requests a number of tickets for an announcement.
     Grant(u32, oneshot::Sender<Option<TicketGrant>>),
-    /// A planned stop: give everything away and end.
+    /// Requests the home's records for a successor and stops the loop.
     HandOver(oneshot::Sender<Box<HomeRecords>>),
-    /// A question how many jobs run.
+    /// Requests the number of unfinished jobs.
     RunningCount(oneshot::Sender<usize>),
 }
 
-/// The home machine with its sessions and waiters.
+/// A home with its sessions and waiters.
 pub(crate) struct HomeLoop {
     pub(crate) home: Home,
-    /// Whether another process had this home before; it grants no tickets, so it ends.
+    /// Whether the home comes from another process. It grants no tickets, so the loop ends once it is finished.
     pub(crate) adopted: bool,
     pub(crate) network: Arc<dyn PeerNetwork>,
     pub(crate) timer: Arc<dyn TimerService>,
@@ -56,7 +56,7 @@
 }
 
 impl HomeLoop {
-    /// Runs until the process ends, or the home moves or is over.
+    /// Runs until the process exits, the home moves or an adopted home is finished.
     pub(crate) async fn run(mut self, mut received: mpsc::UnboundedReceiver<HomeInput>) {
         let mut ticks = self.timer.subscribe(TICK_MS);
         while !self.ended {
@@ -91,7 +91,7 @@
                 epoch,
                 outgoing,
             } => self.add_session(runner, epoch, outgoing),
-            // A dropped receiver no longer wants the reply.
+            // The receiver may have been dropped.
             HomeInput::Grant(count, reply) => {
                 let _ = reply.send(self.home.grant(self.timer.now(), count));
             }
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Guards against a session that opened late and takes the place of a newer one: the home
-    /// sends on the newest only, so its frames would be dropped and its tasks never start.
+    /// Adds a session unless a newer one exists: the home sends only on the newest, and frames for
+    /// a replaced session would be dropped.
     fn add_session(
         &mut self,
         runner: AgentId,
@@ -157,7 +157,7 @@
             } => self.send(runner, epoch, frame),
             HomeAction::Reply { waiter, status } => {
                 if let Some(reply) = self.waiters.remove(&waiter) {
-                    // An entry that is gone asks again if it still wants to know.
+                    // The receiver is dropped if the entry disconnected; the entry can poll again.
                     let _ = reply.send(status);
                 }
             }
@@ -178,7 +178,7 @@
         if let Some((open_epoch, outgoing)) = self.sessions.get(&runner)
             && *open_epoch == epoch
         {
-            // A closed session is reported as lost by its reader.
+            // The reading task reports a closed session.
             let _ = outgoing.send(frame);
         }
     }
@@ -209,7 +209,7 @@
                     }
                 }
             }
-            // The loop ends only with the process.
+            // The loop may have ended.
             let _ = inputs.send(HomeInput::Event(HomeEvent::SessionLost { runner, epoch }));
         });
     }
--- a/src/agent/home_routes.rs
+++ b/src/agent/home_routes.rs
@@ -1,4 +1,4 @@
-//! Which homes this process answers for, and where those that left went.
+//! Routes to the homes that this process owns or has handed over.
 
 use {
     super::home_loop::HomeInput,
@@ -11,23 +11,22 @@
     tokio::sync::{mpsc, watch},
 };
 
-/// How to reach a home from here.
+/// Where requests for a home go.
 #[derive(Debug, Clone)]
 pub(crate) enum HomeRoute {
-    /// Its loop runs in this process.
+    /// To the home's loop in this process.
     Local(mpsc::UnboundedSender<HomeInput>),
-    /// It leaves; its successor's address, once that has taken over.
+    /// To the successor, whose address is set once it has adopted the home.
     Moving(watch::Receiver<Option<SocketAddr>>),
 }
 
-/// What became of an offer to take over a home.
+/// Outcome of a request to adopt a home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// It is taken over now.
     New,
-    /// It was taken over before: the offer was repeated because its reply was lost.
+    /// The offer was repeated because its reply was lost.
     AlreadyAdopted,
-    /// This process is leaving, too.
+    /// This process is stopping.
     Rejected,
 }
 
@@ -37,7 +36,7 @@
     stopping: bool,
 }
 
-/// The homes of one process.
+/// Routes of one process, by home.
 #[derive(Debug, Default)]
 pub(crate) struct HomeRoutes(Mutex<Inner>);
 
@@ -46,17 +45,17 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How to reach a home, if this process ever answered for it.
+    /// Returns the route of a home that this process owns or has handed over.
     pub(crate) fn route(&self, home: AgentId) -> Option<HomeRoute> {
         self.lock().routes.get(&home).cloned()
     }
 
-    /// Sends the home's requests to this loop from now on.
+    /// Routes the home's requests to a loop in this process.
     pub(crate) fn set_local(&self, home: AgentId, inputs: mpsc::UnboundedSender<HomeInput>) {
         self.lock().routes.insert(home, HomeRoute::Local(inputs));
     }
 
-    /// Takes a home over unless it is known or this process is leaving; `start` runs its loop.
+    /// Adopts a home unless it already has a route or this process is stopping; `start` starts its loop.
     pub(crate) fn adopt(
         &self,
         home: AgentId,
@@ -73,7 +72,7 @@
         Adoption::New
     }
 
-    /// Homes whose loops run here.
+    /// Returns the homes whose loops run in this process.
     pub(crate) fn local_homes(&self) -> Vec<AgentId> {
         self.lock()
             .routes
@@ -83,12 +82,13 @@
             .collect()
     }
 
-    /// Takes no home over from now on.
+    /// Rejects later requests to adopt a home.
     pub(crate) fn stop_adopting(&self) {
         self.lock().stopping = true;
     }
 
-    /// Holds the home's requests back until its successor is known; returns its loop.
+    /// Delays the home's requests until its successor is known. Returns the input of its loop and the
+    /// sender of the successor's address.
     pub(crate) fn start_move(
         &self,
         home: AgentId,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Forgets a home all of whose tickets are over.
+    /// Removes the route of a finished home.
     pub(crate) fn remove(&self, home: AgentId) {
         self.lock().routes.remove(&home);
     }
--- a/src/agent/home_starter.rs
+++ b/src/agent/home_starter.rs
@@ -1,4 +1,4 @@
-//! Starts the loops of homes.
+//! Starts home loops.
 
 use {
     super::home_loop::{HomeInput, HomeLoop},
@@ -19,7 +19,7 @@
     },
 };
 
-/// What every home of this process works with.
+/// Dependencies and settings shared by all homes of this process.
 #[derive(Debug)]
 pub(crate) struct HomeStarter {
     pub(crate) network: Arc<dyn PeerNetwork>,
@@ -30,14 +30,14 @@
 }
 
 impl HomeStarter {
-    /// Starts this process's own home.
+    /// Starts the agent's own home.
     pub(crate) fn start_own(&self, id: AgentId) -> UnboundedSender<HomeInput> {
         let secret = GrantSecret::new(rand::rng().random());
         let home = Home::new(id, secret, self.settings, self.placement());
         self.start(home, false).0
     }
 
-    /// Goes on with a home from its records; its loop ends when all its tickets are over.
+    /// Starts an adopted home from its records; its loop ends when the home is finished.
     pub(crate) fn start_adopted(
         &self,
         records: HomeRecords,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: home of jobs and runner of tasks beside one backend server.
+//! Agent of one backend server: owns jobs in its home and runs tasks in its runner.
 
 mod agent_handle;
 mod announcer;
--- a/src/agent/peer_handler.rs
+++ b/src/agent/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What an agent does with its peers' calls and sessions.
+//! Handles calls and sessions from peers.
 
 use {
     super::{
@@ -21,7 +21,7 @@
     tokio::sync::{mpsc, oneshot, watch},
 };
 
-/// Hands calls to the home and sessions to the runner.
+/// Passes calls to homes and sessions to the runner.
 #[derive(Debug)]
 pub(crate) struct AgentPeerHandler {
     pub(crate) agent: Arc<AgentHandle>,
@@ -55,7 +55,7 @@
 }
 
 impl AgentPeerHandler {
-    /// Asks the ticket's home, here or at its successor.
+    /// Sends a request to the ticket's home, in this process or at its successor.
     async fn call_home(&self, ticket: Ticket, request: PeerRequest) -> PeerReply {
         loop {
             match self.agent.homes.route(ticket.id.home) {
@@ -64,11 +64,11 @@
                 }
                 Some(HomeRoute::Local(home)) => match send_request(&home, request.clone()).await {
                     Some(status) => return PeerReply::Job(status),
-                    // The home began to move in this moment: its route says where.
+                    // The move began after the lookup; the next iteration follows the new route.
                     None if self.has_moved(&ticket) => {}
                     None => return PeerReply::Unsupported,
                 },
-                // The own home knows how to answer for tickets of others.
+                // The agent's own home also replies for tickets of unknown homes.
                 None => {
                     let status = send_request(&self.agent.home, request).await;
                     return status.map_or(PeerReply::Unsupported, PeerReply::Job);
@@ -82,7 +82,7 @@
         matches!(route, Some(HomeRoute::Moving(_)))
     }
 
-    /// Holds a request until the successor has taken over, and passes it on.
+    /// Forwards a request once the successor has adopted the home.
     async fn forward(
         &self,
         mut successor: watch::Receiver<Option<SocketAddr>>,
@@ -94,7 +94,7 @@
         let Some(addr) = addr else {
             return PeerReply::Unsupported;
         };
-        // An entry that gets no reply asks again, and learns of the successor meanwhile.
+        // After `Unsupported` the entry retries; by then it may know the successor.
         let reply = self.agent.starter.network.call(addr, request).await;
         reply.unwrap_or(PeerReply::Unsupported)
     }
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -1,4 +1,4 @@
-//! Wires an agent together and runs it until it is told to stop.
+//! Assembles an agent and runs it until a stop signal.
 
 use {
     super::{
@@ -32,16 +32,15 @@
     tokio::sync::{Notify, mpsc},
 };
 
-/// For how long the runner keeps outcomes that their homes have not acknowledged.
+/// Retention of outcomes that their homes have not acknowledged.
 const OUTCOME_RETENTION_MS: u64 = 120_000;
-/// Pause between looks at what is left to do before a stop, in milliseconds.
 const DRAIN_POLL_MS: u64 = 20;
-/// For how long a stopping agent passes requests on to its successor, in milliseconds.
+/// Period after a hand-over in which requests are still forwarded to the successor.
 const FORWARDING_GRACE_MS: u64 = 1_500;
-/// For how long a stopping runner keeps outcomes that no home fetches, in milliseconds.
+/// Maximum wait of an idle, stopping runner for homes to acknowledge outcomes.
 const FETCH_TIMEOUT_MS: u64 = 3_000;
 
-/// Runs an agent until SIGTERM or SIGINT; work under way is finished first.
+/// Runs an agent until SIGTERM or SIGINT, then drains it.
 pub(crate) async fn run_agent(settings: AgentSettings) -> Result<(), RunError> {
     let metrics: Arc<dyn Metrics> = Arc::new(OtelMetrics::new().map_err(RunError::metrics)?);
     let timer: Arc<dyn TimerService> = Arc::new(TokioTimer::new());
@@ -140,11 +139,11 @@
     })
 }
 
-/// Moves the homes to a successor, then waits until nothing runs here any more and what ran has
-/// been fetched, or the limit is reached.
+/// Moves the homes to a successor, then waits until all tasks have finished and their outcomes
+/// are acknowledged, or `limit_ms` has passed.
 ///
-/// Requests for the moved homes that still come here are passed on meanwhile, and for
-/// `LINGER_MS` after, until every entry has heard of the successor.
+/// Requests for moved homes are forwarded meanwhile, for at least `FORWARDING_GRACE_MS` so that
+/// every entry learns of the successor.
 async fn drain(agent: &Arc<AgentHandle>, timer: &dyn TimerService, limit_ms: u64) {
     let started_at = timer.now();
     agent.start_shutdown();
@@ -160,18 +159,18 @@
             let idle_ms = now.millis_since(*idle_since.get_or_insert(now));
             let fetched = remaining.unfetched == 0 || idle_ms >= FETCH_TIMEOUT_MS;
             if fetched && now.millis_since(moved_at) >= FORWARDING_GRACE_MS {
-                log::info!(waited_ms; "all work under way is finished");
+                log::info!(waited_ms; "all running work finished");
                 return;
             }
         }
         if waited_ms >= limit_ms {
-            log::warn!(running = remaining.running, jobs = remaining.jobs, waited_ms; "stop limit reached with work under way");
+            log::warn!(running = remaining.running, jobs = remaining.jobs, waited_ms; "stop limit reached before all work finished");
             return;
         }
     }
 }
 
-/// What a stop still waits for.
+/// Work that a stopping agent waits for.
 #[derive(Debug)]
 struct RemainingWork {
     running: u16,
--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -1,4 +1,4 @@
-//! Drives the runner machine: feeds events in and carries actions out.
+//! Event loop of the runner: passes events to its state machine and executes the actions.
 
 use {
     crate::{
@@ -14,10 +14,9 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Period of the runner's housekeeping, in milliseconds.
 const TICK_MS: u64 = 100;
 
-/// What an announcement says of the runner.
+/// State of the runner as sent in announcements.
 #[derive(Debug, Clone)]
 pub(crate) struct RunnerSnapshot {
     pub(crate) services: Vec<String>,
@@ -30,17 +29,16 @@
     pub(crate) config_version: u64,
 }
 
-/// What the loop takes in.
+/// Input of the loop.
 pub(crate) enum RunnerInput {
-    /// An event.
     Event(RunnerEvent),
     /// A home opened a session.
     Session(RunnerSession),
-    /// A question how things stand.
+    /// Requests the runner's current state.
     Snapshot(oneshot::Sender<RunnerSnapshot>),
 }
 
-/// The runner machine with its sessions.
+/// The runner with its sessions.
 pub(crate) struct RunnerLoop {
     pub(crate) runner: Runner,
     pub(crate) backend: Arc<dyn BackendServer>,
@@ -49,12 +47,12 @@
     pub(crate) inputs: mpsc::UnboundedSender<RunnerInput>,
     pub(crate) sessions: BTreeMap<SessionId, mpsc::UnboundedSender<RunnerFrame>>,
     pub(crate) next_session: u64,
-    /// The permit as the connections to the backend server see it.
+    /// Copy of the permit for connections to the backend server.
     pub(crate) permit: Arc<SharedPermit>,
 }
 
 impl RunnerLoop {
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub(crate) async fn run(mut self, mut received: mpsc::UnboundedReceiver<RunnerInput>) {
         let mut ticks = self.timer.subscribe(TICK_MS);
         loop {
@@ -79,7 +77,7 @@
             }
             RunnerInput::Session(session) => self.open_session(session),
             RunnerInput::Snapshot(reply) => {
-                // A dropped receiver no longer wants the reply.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.snapshot());
             }
         }
@@ -110,7 +108,7 @@
                     return;
                 }
             }
-            // The loop ends only with the process.
+            // The receiver is dropped only when the process exits.
             let _ = inputs.send(RunnerInput::Event(RunnerEvent::SessionClosed {
                 session: id,
             }));
@@ -129,7 +127,7 @@
         match action {
             RunnerAction::Send { session, frame } => {
                 if let Some(outgoing) = self.sessions.get(&session) {
-                    // A closed session is reported by its reader.
+                    // The reading task reports a closed session.
                     let _ = outgoing.send(frame);
                 }
             }
@@ -154,7 +152,7 @@
         tokio::spawn(async move {
             let task = start.task;
             let outcome = backend.run(start).await;
-            // The loop ends only with the process.
+            // The receiver is dropped only when the process exits.
             let _ = inputs.send(RunnerInput::Event(RunnerEvent::Finished { task, outcome }));
         });
     }
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a home's way to its successor.
+//! Hand-over of a home to its successor.
 
 #![allow(
     clippy::expect_used,
@@ -31,7 +31,7 @@
 
 const HOME: AgentId = AgentId(3);
 
-/// A successor, or the connection to it, that answers each offer as told.
+/// A successor whose replies and connection errors are scripted, one per offer.
 #[derive(Debug)]
 struct ScriptedSuccessor(Mutex<VecDeque<Result<PeerReply, PeerError>>>);
 
@@ -40,7 +40,9 @@
     async fn call(&self, _: SocketAddr, request: PeerRequest) -> Result<PeerReply, PeerError> {
         assert!(matches!(request, PeerRequest::Adopt(records) if records.home == HOME));
         let mut script = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        script.pop_front().expect("one more offer than scripted")
+        script
+            .pop_front()
+            .expect("more offers than scripted replies")
     }
 
     async fn open_session(
@@ -49,7 +51,9 @@
         _: AgentId,
         _: u64,
     ) -> Result<SessionIo, PeerError> {
-        Err(PeerError::Unreachable("no sessions here".to_owned()))
+        Err(PeerError::Unreachable(
+            "sessions are not scripted".to_owned(),
+        ))
     }
 }
 
@@ -65,17 +69,15 @@
 }
 
 fn connection_lost() -> Result<PeerReply, PeerError> {
-    Err(PeerError::Lost("cut".to_owned()))
+    Err(PeerError::Lost("connection cut".to_owned()))
 }
 
 fn unreachable() -> Result<PeerReply, PeerError> {
     Err(PeerError::Unreachable("refused".to_owned()))
 }
 
-/// A home is offered to a successor and the connection fails at different moments. If another
-/// successor were asked, or the home went on here, after an offer that may have arrived, two
-/// processes would answer for one ticket and a share would be paid twice. Only an offer that was
-/// surely not taken may be followed by another one elsewhere.
+/// After an offer that may have arrived, the home must not be offered to another successor or
+/// resumed locally: two processes would own it, and a share could be paid twice.
 macro_rules! hand_over_cases {
     ($($name:ident: [$($reply:expr),+] => $expected:ident;)+) => {
         $(
@@ -88,7 +90,7 @@
                 let outcome = offer_home(&successor, to, &records(), is_before_deadline).await;
                 assert_eq!(outcome, HandOverOutcome::$expected);
                 let unused_replies = successor.0.lock().unwrap_or_else(PoisonError::into_inner).len();
-                assert_eq!(unused_replies, 0, "offers too few");
+                assert_eq!(unused_replies, 0, "unused scripted replies");
             }
         )+
     };
@@ -103,7 +105,7 @@
     rejection_after_a_lost_reply_is_inconclusive: [connection_lost(), Ok(PeerReply::Unsupported), connection_lost()] => Unknown;
 }
 
-/// The reply to an offer is lost and the offer is made again: the home must not be started twice.
+/// A home whose offer is repeated after a lost reply must not be started twice.
 #[test]
 fn repeated_offer_starts_the_home_once() {
     let homes = HomeRoutes::default();
@@ -124,7 +126,7 @@
     );
 }
 
-/// A home moves on: requests must wait for its successor and not reach its old loop.
+/// Requests for a moving home must wait for its successor and not reach the old loop.
 #[test]
 fn moving_home_gets_no_requests() {
     let homes = HomeRoutes::default();
@@ -132,5 +134,5 @@
     assert!(homes.start_move(HOME).is_some());
     assert!(matches!(homes.route(HOME), Some(HomeRoute::Moving(_))));
     assert!(homes.local_homes().is_empty());
-    assert!(homes.start_move(HOME).is_none(), "it moves once");
+    assert!(homes.start_move(HOME).is_none(), "a home moves only once");
 }
