--- a/src/adapters/backend/gated_connection.rs
+++ b/src/adapters/backend/gated_connection.rs
@@ -61,7 +61,7 @@
 
     /// Whether the permit had ended when the request was about to be written.
     pub(super) fn permit_ended(&self) -> bool {
-        !self.permit.allows(self.timer.now())
+        !self.permit.is_valid(self.timer.now())
     }
 
     /// Guards against a process that was frozen after it took a start: the permit may have ended
@@ -70,7 +70,7 @@
         if self.state.load(Ordering::SeqCst) == WRITTEN {
             return Ok(());
         }
-        let is_allowed = self.permit.allows(self.timer.now());
+        let is_allowed = self.permit.is_valid(self.timer.now());
         let to = if is_allowed { WRITTEN } else { REFUSED };
         match self
             .state
--- a/src/adapters/backend/tests.rs
+++ b/src/adapters/backend/tests.rs
@@ -105,7 +105,7 @@
         Arc::new(HandClock::default()),
     );
     let (backend, server) = backend(&permit, &clock).await;
-    permit.set_until(Instant::from_millis(3_000));
+    permit.set_expiry(Instant::from_millis(3_000));
     assert_eq!(backend.run(start(0)).await, done());
     let before = server.read.lock().expect("lock").len();
 
@@ -118,7 +118,7 @@
         assert_eq!(server.connections.load(Ordering::SeqCst), connections);
     }
 
-    permit.set_until(Instant::from_millis(6_000));
+    permit.set_expiry(Instant::from_millis(6_000));
     assert_eq!(backend.run(start(3)).await, done());
 }
 
@@ -128,7 +128,7 @@
         Arc::new(SharedPermit::default()),
         Arc::new(HandClock::default()),
     );
-    permit.set_until(Instant::from_millis(3_000));
+    permit.set_expiry(Instant::from_millis(3_000));
     let (backend, server) = backend(&permit, &clock).await;
     for index in 0..5 {
         assert_eq!(backend.run(start(index)).await, done());
--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -119,7 +119,7 @@
 
     fn feed(&mut self, event: RunnerEvent) {
         let actions = self.runner.handle(self.timer.now(), event);
-        self.permit.set_until(self.runner.permit_until());
+        self.permit.set_expiry(self.runner.permit_until());
         for action in actions {
             self.carry_out(action);
         }
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -12,5 +12,5 @@
     pending_change::ChangeId,
     permit::Permit,
     shared_permit::SharedPermit,
-    zone_gate::{ChangeEnd, PERMIT_MS, ZoneGate},
+    zone_gate::{ChangeOutcome, PERMIT_DURATION_MS, ZoneGate},
 };
--- a/src/core/gate/pending_change.rs
+++ b/src/core/gate/pending_change.rs
@@ -1,7 +1,7 @@
 //! Changes of the configuration that may or may not have taken effect.
 
 use {
-    super::ChangeEnd,
+    super::ChangeOutcome,
     crate::core::{message::Closing, time::Instant},
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -29,15 +29,15 @@
 /// that the lost write has closed. Until a reading settles the matter the zone counts as closed.
 #[derive(Debug, Default)]
 pub(crate) struct PendingChanges {
-    next: u64,
+    next_id: u64,
     changes: BTreeMap<ChangeId, PendingChange>,
 }
 
 impl PendingChanges {
     /// A change to `version` is about to be written.
     pub(crate) fn begin(&mut self, version: u64, closing: BTreeSet<Closing>) -> ChangeId {
-        self.next += 1;
-        let id = ChangeId(self.next);
+        self.next_id += 1;
+        let id = ChangeId(self.next_id);
         let change = PendingChange {
             version,
             closing,
@@ -48,12 +48,12 @@
     }
 
     /// The write ended.
-    pub(crate) fn end(&mut self, now: Instant, id: ChangeId, end: ChangeEnd) {
-        match end {
-            ChangeEnd::Refused => {
+    pub(crate) fn finish(&mut self, now: Instant, id: ChangeId, outcome: ChangeOutcome) {
+        match outcome {
+            ChangeOutcome::NotApplied => {
                 self.changes.remove(&id);
             }
-            ChangeEnd::MayHaveLanded => {
+            ChangeOutcome::MaybeApplied => {
                 if let Some(change) = self.changes.get_mut(&id) {
                     change.ended_at = Some(now);
                 }
@@ -61,17 +61,17 @@
         }
     }
 
-    /// The head row, asked for at `asked_at`, had this version.
+    /// The head row, asked for at `requested_at`, had this version.
     ///
     /// A version that is not lower settles a change either way, as its write needed the row to
     /// be at the version before. A lower one settles it only when the write can't land any more.
-    pub(crate) fn head_read(&mut self, asked_at: Instant, version: u64) {
+    pub(crate) fn record_head_read(&mut self, requested_at: Instant, version: u64) {
         self.changes.retain(|_, change| {
-            let landed_or_lost = version >= change.version;
-            let too_late = change
+            let is_decided = version >= change.version;
+            let is_expired = change
                 .ended_at
-                .is_some_and(|ended_at| asked_at.millis_since(ended_at) >= WRITE_LIFETIME_MS);
-            !(landed_or_lost || too_late)
+                .is_some_and(|ended_at| requested_at.millis_since(ended_at) >= WRITE_LIFETIME_MS);
+            !(is_decided || is_expired)
         });
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Whether a change may be closing this worker.
-    pub(crate) fn closes(&self, availability_zone: &str, worker: &str) -> bool {
+    pub(crate) fn may_close(&self, availability_zone: &str, worker: &str) -> bool {
         let mut closing = self.changes.values().flat_map(|change| &change.closing);
         closing.any(|closing| closing.covers(availability_zone, worker))
     }
--- a/src/core/gate/permit.rs
+++ b/src/core/gate/permit.rs
@@ -10,7 +10,7 @@
 /// that was under way for long grants no more than it should.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    until: Instant,
+    expires_at: Instant,
     config_version: u64,
 }
 
@@ -18,7 +18,7 @@
     /// No permit yet.
     pub(crate) const fn unissued() -> Self {
         Self {
-            until: Instant::from_micros(0),
+            expires_at: Instant::from_micros(0),
             config_version: 0,
         }
     }
@@ -38,20 +38,20 @@
         }
         self.config_version = config_version;
         if !zone_open {
-            self.until = Instant::default();
+            self.expires_at = Instant::default();
             return;
         }
-        self.until = self.until.max(sent_at.plus_ms(permit_ms));
+        self.expires_at = self.expires_at.max(sent_at.plus_ms(permit_ms));
     }
 
     /// Whether a task may start now.
     pub(crate) fn is_valid(&self, now: Instant) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
     /// When the permit ends, for the check at the write.
-    pub(crate) const fn until(&self) -> Instant {
-        self.until
+    pub(crate) const fn expires_at(&self) -> Instant {
+        self.expires_at
     }
 
     /// The newest configuration version seen.
--- a/src/core/gate/shared_permit.rs
+++ b/src/core/gate/shared_permit.rs
@@ -12,18 +12,18 @@
 /// looks here, so what matters is the permit at that moment, revocations included.
 #[derive(Debug, Default)]
 pub(crate) struct SharedPermit {
-    until_micros: AtomicU64,
+    expires_at_us: AtomicU64,
 }
 
 impl SharedPermit {
     /// Takes in the end of the permit as it is now.
-    pub(crate) fn set_until(&self, until: Instant) {
-        self.until_micros
-            .store(until.as_micros(), Ordering::Release);
+    pub(crate) fn set_expiry(&self, expires_at: Instant) {
+        self.expires_at_us
+            .store(expires_at.as_micros(), Ordering::Release);
     }
 
     /// Whether a task may start now.
-    pub(crate) fn allows(&self, now: Instant) -> bool {
-        now.as_micros() < self.until_micros.load(Ordering::Acquire)
+    pub(crate) fn is_valid(&self, now: Instant) -> bool {
+        now.as_micros() < self.expires_at_us.load(Ordering::Acquire)
     }
 }
--- a/src/core/gate/tests.rs
+++ b/src/core/gate/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the zone gate: the rule itself, and a model of entries, platform and faults.
 
+mod interleavings;
 mod messages;
-mod model;
-mod rule;
+mod simulation;
 mod steps;
-mod world;
+mod zone_gate;
--- a/src/core/gate/tests/messages.rs
+++ b/src/core/gate/tests/messages.rs
@@ -1,15 +1,15 @@
 //! What each message of the model does on its way.
 
 use {
-    super::world::{Message, WRITE_LIFETIME_MS, World},
-    crate::core::gate::ChangeEnd,
+    super::simulation::{Message, Simulation, WRITE_LIFETIME_MS},
+    crate::core::gate::ChangeOutcome,
 };
 
-impl World {
+impl Simulation {
     pub(super) fn progress_poll(&mut self, message: &mut Message) -> bool {
         let Message::Poll {
             entry,
-            asked_at,
+            requested_at,
             scan,
             head,
         } = message
@@ -24,13 +24,13 @@
             *head = Some(self.head());
             return false;
         }
-        if !self.runs(entry) {
+        if !self.is_running(entry) {
             return false;
         }
-        let Some((others, head_asked_at)) = scan else {
+        let Some((others, head_requested_at)) = scan else {
             let id = self.entries[entry].id;
             if !self.rows.contains_key(&id) {
-                self.entries[entry].gate.forget_roster();
+                self.entries[entry].gate.clear_roster();
                 return true;
             }
             let others = self.rows.keys().copied().filter(|row| *row != id).collect();
@@ -40,16 +40,16 @@
         };
         let Some(version) = *head else { return true };
         let gate = &mut self.entries[entry].gate;
-        gate.head_read(*head_asked_at, version);
-        gate.roster_read(*asked_at, others);
+        gate.record_head_read(*head_requested_at, version);
+        gate.record_roster_read(*requested_at, others);
         true
     }
 
-    pub(super) fn progress_ask(&mut self, message: &mut Message) -> bool {
-        let Message::Ask {
+    pub(super) fn progress_query(&mut self, message: &mut Message) -> bool {
+        let Message::Query {
             from,
             to,
-            asked_at,
+            requested_at,
             status,
         } = message
         else {
@@ -57,18 +57,20 @@
         };
         let (from, to) = (*from, *to);
         if let Some(status) = status.take() {
-            if self.runs(from) {
+            if self.is_running(from) {
                 let peer = self.entries[to].id;
-                self.entries[from].gate.heard(*asked_at, peer, status);
+                self.entries[from]
+                    .gate
+                    .record_status(*requested_at, peer, status);
             }
             return true;
         }
         if !self.entries[to].alive {
             return true;
         }
-        if self.runs(to) {
+        if self.is_running(to) {
             let (now, peer) = (self.clock(to), self.entries[from].id);
-            self.entries[to].gate.meet(now, peer);
+            self.entries[to].gate.add_member(now, peer);
             *status = Some(self.entries[to].gate.status(now));
         }
         false
@@ -81,20 +83,20 @@
             version,
             open,
             sent_ms,
-            end,
-            given_up,
+            outcome,
+            abandoned,
         } = message
         else {
             return true;
         };
         let entry = *entry;
-        let Some(end) = *end else {
+        let Some(outcome) = *outcome else {
             if self.now_ms - *sent_ms >= WRITE_LIFETIME_MS {
                 return true;
             }
-            if self.down {
-                *end = Some(ChangeEnd::Refused);
-                return *given_up;
+            if self.platform_down {
+                *outcome = Some(ChangeOutcome::NotApplied);
+                return *abandoned;
             }
             let lands =
                 *version == self.head() + 1 && self.rows.contains_key(&self.entries[entry].id);
@@ -102,16 +104,16 @@
                 self.versions.insert(*version, *open);
                 self.closed_at_ms = (!*open).then(|| self.closed_at_ms.unwrap_or(self.now_ms));
             }
-            *end = Some(if lands {
-                ChangeEnd::MayHaveLanded
+            *outcome = Some(if lands {
+                ChangeOutcome::MaybeApplied
             } else {
-                ChangeEnd::Refused
+                ChangeOutcome::NotApplied
             });
-            return *given_up;
+            return *abandoned;
         };
-        if self.runs(entry) {
+        if self.is_running(entry) {
             let now = self.clock(entry);
-            self.entries[entry].gate.end_change(now, *id, end);
+            self.entries[entry].gate.finish_change(now, *id, outcome);
         }
         true
     }
--- a/src/core/gate/tests/world.rs
+++ b/src/core/gate/tests/simulation.rs
@@ -6,7 +6,7 @@
 use {
     super::steps::Step,
     crate::core::{
-        gate::{ChangeEnd, ChangeId, ZoneGate},
+        gate::{ChangeId, ChangeOutcome, ZoneGate},
         message::{Closing, GateStatus},
         ticket::AgentId,
         time::Instant,
@@ -17,7 +17,7 @@
 
 const ZONE: &str = "keflavik";
 /// Time after a closing from which no permit may be granted, in milliseconds.
-const LAST_GRANT_MS: u64 = 2_000;
+const MAX_GRANT_DELAY_MS: u64 = 2_000;
 /// Time after which the platform drops a write, in milliseconds.
 pub(super) const WRITE_LIFETIME_MS: u64 = 30_000;
 /// Time after the last write of a row from which others may remove it, in milliseconds.
@@ -30,7 +30,7 @@
     /// Clocks of different processes have nothing to do with each other.
     clock_offset_ms: u64,
     paused: bool,
-    cut: bool,
+    partitioned: bool,
     pub(super) alive: bool,
 }
 
@@ -38,14 +38,14 @@
 pub(super) enum Message {
     Poll {
         entry: usize,
-        asked_at: Instant,
+        requested_at: Instant,
         scan: Option<(BTreeSet<AgentId>, Instant)>,
         head: Option<u64>,
     },
-    Ask {
+    Query {
         from: usize,
         to: usize,
-        asked_at: Instant,
+        requested_at: Instant,
         status: Option<GateStatus>,
     },
     Change {
@@ -54,16 +54,16 @@
         version: u64,
         open: bool,
         sent_ms: u64,
-        end: Option<ChangeEnd>,
-        given_up: bool,
+        outcome: Option<ChangeOutcome>,
+        abandoned: bool,
     },
 }
 
 /// Entries, their platform and the messages under way.
 #[derive(Debug, Default)]
-pub(super) struct World {
+pub(super) struct Simulation {
     pub(super) now_ms: u64,
-    pub(super) down: bool,
+    pub(super) platform_down: bool,
     /// Rows of the roster with when each was last written.
     pub(super) rows: BTreeMap<AgentId, u64>,
     /// Whether the zone is open, by version; the platform's head is the last one.
@@ -71,19 +71,19 @@
     pub(super) closed_at_ms: Option<u64>,
     pub(super) entries: Vec<Entry>,
     pub(super) messages: Vec<Message>,
-    pub(super) grants_seen: usize,
-    pub(super) blind_grants_seen: usize,
+    pub(super) grants: usize,
+    pub(super) grants_without_platform: usize,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new(entries: usize) -> Self {
-        let mut world = Self::default();
-        world.versions.insert(1, true);
+        let mut simulation = Self::default();
+        simulation.versions.insert(1, true);
         for _ in 0..entries {
-            world.join();
+            simulation.join();
         }
-        world.settle();
-        world
+        simulation.synchronize();
+        simulation
     }
 
     pub(super) fn head(&self) -> u64 {
@@ -94,20 +94,20 @@
         Instant::from_millis(self.now_ms + self.entries[entry].clock_offset_ms)
     }
 
-    pub(super) fn runs(&self, entry: usize) -> bool {
+    pub(super) fn is_running(&self, entry: usize) -> bool {
         self.entries
             .get(entry)
             .is_some_and(|entry| entry.alive && !entry.paused)
     }
 
     pub(super) fn reaches_platform(&self, entry: usize) -> bool {
-        !self.down && self.entries[entry].alive && !self.entries[entry].cut
+        !self.platform_down && self.entries[entry].alive && !self.entries[entry].partitioned
     }
 
     /// A new process: its row is there before it says a word.
     fn join(&mut self) {
         let number = self.entries.len() as u64 + 1;
-        if self.down || number > 6 {
+        if self.platform_down || number > 6 {
             return;
         }
         self.rows.insert(AgentId(number), self.now_ms);
@@ -116,21 +116,21 @@
             gate: ZoneGate::new(OUTAGE_LIMIT_MS),
             clock_offset_ms: number * 7_919,
             paused: false,
-            cut: false,
+            partitioned: false,
             alive: true,
         });
         let entry = self.entries.len() - 1;
         let now = self.clock(entry);
-        self.entries[entry].gate.row_written(now);
+        self.entries[entry].gate.record_row_written(now);
     }
 
-    fn settle(&mut self) {
+    fn synchronize(&mut self) {
         for entry in 0..self.entries.len() {
             self.poll_now(entry);
         }
         for from in 0..self.entries.len() {
             for to in 0..self.entries.len() {
-                self.ask_now(from, to);
+                self.query_now(from, to);
             }
         }
     }
@@ -138,63 +138,63 @@
     fn poll_now(&mut self, entry: usize) {
         let before = self.messages.len();
         self.poll(entry);
-        self.finish(before);
+        self.complete(before);
     }
 
-    fn ask_now(&mut self, from: usize, to: usize) {
+    fn query_now(&mut self, from: usize, to: usize) {
         let before = self.messages.len();
-        self.ask(from, to);
-        self.finish(before);
+        self.query(from, to);
+        self.complete(before);
     }
 
     fn poll(&mut self, entry: usize) {
-        if self.runs(entry) {
-            let asked_at = self.clock(entry);
+        if self.is_running(entry) {
+            let requested_at = self.clock(entry);
             self.messages.push(Message::Poll {
                 entry,
-                asked_at,
+                requested_at,
                 scan: None,
                 head: None,
             });
         }
     }
 
-    fn ask(&mut self, from: usize, to: usize) {
+    fn query(&mut self, from: usize, to: usize) {
         let known = self.entries.get(from).zip(self.entries.get(to)).is_some();
         // An entry speaks to others once it has seen its own row, as the digest loop does.
-        if from == to || !known || !self.runs(from) || !self.rows_seen(from) {
+        if from == to || !known || !self.is_running(from) || !self.has_read_roster(from) {
             return;
         }
-        let asked_at = self.clock(from);
-        self.messages.push(Message::Ask {
+        let requested_at = self.clock(from);
+        self.messages.push(Message::Query {
             from,
             to,
-            asked_at,
+            requested_at,
             status: None,
         });
     }
 
-    fn rows_seen(&self, entry: usize) -> bool {
+    fn has_read_roster(&self, entry: usize) -> bool {
         self.entries[entry].gate.knows_roster()
     }
 
-    fn refresh(&mut self, entry: usize, answered: bool) {
-        if entry >= self.entries.len() || !self.runs(entry) || !self.reaches_platform(entry) {
+    fn write_row(&mut self, entry: usize, acknowledged: bool) {
+        if entry >= self.entries.len() || !self.is_running(entry) || !self.reaches_platform(entry) {
             return;
         }
         let (id, now) = (self.entries[entry].id, self.clock(entry));
         let Some(written_ms) = self.rows.get_mut(&id) else {
-            self.entries[entry].gate.forget_roster();
+            self.entries[entry].gate.clear_roster();
             return;
         };
         *written_ms = self.now_ms;
-        if answered {
-            self.entries[entry].gate.row_written(now);
+        if acknowledged {
+            self.entries[entry].gate.record_row_written(now);
         }
     }
 
     fn change(&mut self, entry: usize, open: bool) {
-        if !self.runs(entry) || !self.entries[entry].gate.is_known_to_all() {
+        if !self.is_running(entry) || !self.entries[entry].gate.is_known_to_all() {
             return;
         }
         let version = self.entries[entry].gate.status(Instant::default()).version + 1;
@@ -211,8 +211,8 @@
             version,
             open,
             sent_ms,
-            end: None,
-            given_up: false,
+            outcome: None,
+            abandoned: false,
         });
     }
 
@@ -220,7 +220,7 @@
         let mut message = self.messages.remove(position);
         let done = match &mut message {
             Message::Poll { .. } => self.progress_poll(&mut message),
-            Message::Ask { .. } => self.progress_ask(&mut message),
+            Message::Query { .. } => self.progress_query(&mut message),
             Message::Change { .. } => self.progress_change(&mut message),
         };
         if !done {
@@ -229,7 +229,7 @@
     }
 
     /// Loses a message; a change's write may be under way all the same.
-    fn lose(&mut self, position: usize) {
+    fn drop_message(&mut self, position: usize) {
         let clocks: Vec<_> = (0..self.entries.len())
             .map(|entry| self.clock(entry))
             .collect();
@@ -237,16 +237,16 @@
             Message::Change {
                 entry,
                 id,
-                given_up,
-                end,
+                abandoned,
+                outcome,
                 ..
-            } if !*given_up => {
+            } if !*abandoned => {
                 let now = clocks[*entry];
                 self.entries[*entry]
                     .gate
-                    .end_change(now, *id, ChangeEnd::MayHaveLanded);
-                *given_up = true;
-                if end.is_some() {
+                    .finish_change(now, *id, ChangeOutcome::MaybeApplied);
+                *abandoned = true;
+                if outcome.is_some() {
                     self.messages.remove(position);
                 }
             }
@@ -257,7 +257,7 @@
     }
 
     /// Carries the last message as far as it goes.
-    fn finish(&mut self, position: usize) {
+    fn complete(&mut self, position: usize) {
         for _ in 0..4 {
             if self.messages.len() > position {
                 self.progress(position);
@@ -265,23 +265,23 @@
         }
     }
 
-    pub(super) fn take(&mut self, step: &Step) {
+    pub(super) fn apply(&mut self, step: &Step) {
         match *step {
             Step::Advance { ms } => self.now_ms += ms,
             Step::Poll { entry } => self.poll(entry),
-            Step::Ask { from, to } => self.ask(from, to),
+            Step::Query { from, to } => self.query(from, to),
             Step::Change { entry, open } => self.change(entry, open),
             Step::Progress { message } if !self.messages.is_empty() => {
                 self.progress(message % self.messages.len());
             }
-            Step::Lose { message } if !self.messages.is_empty() => {
-                self.lose(message % self.messages.len());
+            Step::DropMessage { message } if !self.messages.is_empty() => {
+                self.drop_message(message % self.messages.len());
             }
-            Step::Progress { .. } | Step::Lose { .. } => {}
-            Step::SetDown { down } => self.down = down,
+            Step::Progress { .. } | Step::DropMessage { .. } => {}
+            Step::SetPlatformDown { down } => self.platform_down = down,
             Step::Join => self.join(),
             Step::PollNow { entry } => self.poll_now(entry),
-            Step::AskNow { from, to } => self.ask_now(from, to),
+            Step::QueryNow { from, to } => self.query_now(from, to),
             Step::ChangeNow { entry, open } => {
                 let before = self.messages.len();
                 self.change(entry, open);
@@ -289,24 +289,27 @@
                     self.progress(before);
                 }
             }
-            Step::Refresh { entry, answered } => self.refresh(entry, answered),
-            Step::Settle => self.settle(),
-            Step::Cut { entry, .. }
+            Step::WriteRow {
+                entry,
+                acknowledged,
+            } => self.write_row(entry, acknowledged),
+            Step::Synchronize => self.synchronize(),
+            Step::Partition { entry, .. }
             | Step::Pause { entry, .. }
             | Step::Kill { entry }
-            | Step::Remove { entry } => self.harm(entry, step),
+            | Step::RemoveRow { entry } => self.inject_fault(entry, step),
         }
     }
 
-    fn harm(&mut self, entry: usize, step: &Step) {
+    fn inject_fault(&mut self, entry: usize, step: &Step) {
         let Some(target) = self.entries.get_mut(entry) else {
             return;
         };
         match *step {
-            Step::Cut { cut, .. } => target.cut = cut,
+            Step::Partition { partitioned, .. } => target.partitioned = partitioned,
             Step::Pause { paused, .. } => target.paused = paused,
             Step::Kill { .. } => target.alive = false,
-            Step::Remove { .. } if !self.down => {
+            Step::RemoveRow { .. } if !self.platform_down => {
                 let now_ms = self.now_ms;
                 let id = target.id;
                 // A dead process's successor at the same address removes the row at once.
@@ -322,22 +325,22 @@
     /// No entry may grant a permit in the zone long after it was closed.
     pub(super) fn check(&mut self) -> Result<(), TestCaseError> {
         for entry in 0..self.entries.len() {
-            if !self.runs(entry) {
+            if !self.is_running(entry) {
                 continue;
             }
             let now = self.clock(entry);
             let gate = &self.entries[entry].gate;
             let status = gate.status(now);
             let open = self.versions.get(&status.version).copied().unwrap_or(false);
-            if !open || !gate.grants(now, ZONE, "w01") {
+            if !open || !gate.may_grant(now, ZONE, "w01") {
                 continue;
             }
-            self.grants_seen += 1;
-            self.blind_grants_seen += usize::from(status.head_age_ms.is_none());
+            self.grants += 1;
+            self.grants_without_platform += usize::from(status.head_age_ms.is_none());
             if let Some(closed_at_ms) = self.closed_at_ms {
                 let late_ms = self.now_ms - closed_at_ms;
                 prop_assert!(
-                    late_ms <= LAST_GRANT_MS,
+                    late_ms <= MAX_GRANT_DELAY_MS,
                     "entry {entry} grants {late_ms} ms after the closing: {gate:?}"
                 );
             }
--- a/src/core/gate/tests/steps.rs
+++ b/src/core/gate/tests/steps.rs
@@ -12,7 +12,7 @@
     Poll {
         entry: usize,
     },
-    Ask {
+    Query {
         from: usize,
         to: usize,
     },
@@ -23,15 +23,15 @@
     Progress {
         message: usize,
     },
-    Lose {
+    DropMessage {
         message: usize,
     },
-    SetDown {
+    SetPlatformDown {
         down: bool,
     },
-    Cut {
+    Partition {
         entry: usize,
-        cut: bool,
+        partitioned: bool,
     },
     Pause {
         entry: usize,
@@ -41,20 +41,20 @@
         entry: usize,
     },
     Join,
-    Remove {
+    RemoveRow {
         entry: usize,
     },
     /// Its row is written again; `answered` if the reply arrives.
-    Refresh {
+    WriteRow {
         entry: usize,
-        answered: bool,
+        acknowledged: bool,
     },
     /// A reading without delay.
     PollNow {
         entry: usize,
     },
     /// A question and its answer without delay.
-    AskNow {
+    QueryNow {
         from: usize,
         to: usize,
     },
@@ -64,7 +64,7 @@
         open: bool,
     },
     /// Everybody reads the platform and asks everybody, without delay.
-    Settle,
+    Synchronize,
 }
 
 /// Any steps in any order.
@@ -74,40 +74,40 @@
         4 => (1_500_u64..5_000).prop_map(|ms| Step::Advance { ms }),
         1 => (20_000_u64..40_000).prop_map(|ms| Step::Advance { ms }),
         4 => (0_usize..4).prop_map(|entry| Step::Poll { entry }),
-        6 => (0_usize..4, 0_usize..4).prop_map(|(from, to)| Step::Ask { from, to }),
+        6 => (0_usize..4, 0_usize..4).prop_map(|(from, to)| Step::Query { from, to }),
         5 => (0_usize..4, prop::bool::weighted(0.2)).prop_map(|(entry, open)| Step::Change { entry, open }),
         14 => (0_usize..8).prop_map(|message| Step::Progress { message }),
-        2 => (0_usize..8).prop_map(|message| Step::Lose { message }),
-        2 => prop::bool::weighted(0.3).prop_map(|down| Step::SetDown { down }),
-        1 => (0_usize..4, any::<bool>()).prop_map(|(entry, cut)| Step::Cut { entry, cut }),
+        2 => (0_usize..8).prop_map(|message| Step::DropMessage { message }),
+        2 => prop::bool::weighted(0.3).prop_map(|down| Step::SetPlatformDown { down }),
+        1 => (0_usize..4, any::<bool>()).prop_map(|(entry, partitioned)| Step::Partition { entry, partitioned }),
         1 => (0_usize..4, any::<bool>()).prop_map(|(entry, paused)| Step::Pause { entry, paused }),
         1 => (0_usize..4).prop_map(|entry| Step::Kill { entry }),
         3 => (0_usize..4, any::<bool>())
-            .prop_map(|(entry, answered)| Step::Refresh { entry, answered }),
+            .prop_map(|(entry, acknowledged)| Step::WriteRow { entry, acknowledged }),
         6 => (0_usize..4).prop_map(|entry| Step::PollNow { entry }),
-        6 => (0_usize..4, 0_usize..4).prop_map(|(from, to)| Step::AskNow { from, to }),
+        6 => (0_usize..4, 0_usize..4).prop_map(|(from, to)| Step::QueryNow { from, to }),
         6 => (0_usize..4, prop::bool::weighted(0.2)).prop_map(|(entry, open)| Step::ChangeNow { entry, open }),
         4 => Just(Step::Join),
-        2 => (0_usize..4).prop_map(|entry| Step::Remove { entry }),
-        2 => Just(Step::Settle),
+        2 => (0_usize..4).prop_map(|entry| Step::RemoveRow { entry }),
+        2 => Just(Step::Synchronize),
     ];
     prop::collection::vec(step, 1..100)
 }
 
 /// Steps without delays between them, for stories in which entries come, go and are cut off.
-pub(super) fn turnover() -> impl Strategy<Value = Vec<Step>> {
+pub(super) fn membership_changes() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         5 => (500_u64..4_000).prop_map(|ms| Step::Advance { ms }),
         1 => (0_usize..3, any::<bool>())
-            .prop_map(|(entry, answered)| Step::Refresh { entry, answered }),
+            .prop_map(|(entry, acknowledged)| Step::WriteRow { entry, acknowledged }),
         4 => (0_usize..3).prop_map(|entry| Step::PollNow { entry }),
-        2 => (0_usize..3, 0_usize..3).prop_map(|(from, to)| Step::AskNow { from, to }),
+        2 => (0_usize..3, 0_usize..3).prop_map(|(from, to)| Step::QueryNow { from, to }),
         3 => (0_usize..3).prop_map(|entry| Step::ChangeNow { entry, open: false }),
-        1 => (0_usize..3).prop_map(|entry| Step::Cut { entry, cut: true }),
-        1 => Just(Step::SetDown { down: true }),
-        1 => Just(Step::SetDown { down: false }),
+        1 => (0_usize..3).prop_map(|entry| Step::Partition { entry, partitioned: true }),
+        1 => Just(Step::SetPlatformDown { down: true }),
+        1 => Just(Step::SetPlatformDown { down: false }),
         3 => Just(Step::Join),
-        3 => (0_usize..3).prop_map(|entry| Step::Remove { entry }),
+        3 => (0_usize..3).prop_map(|entry| Step::RemoveRow { entry }),
     ];
     prop::collection::vec(step, 4..16)
 }
--- a/src/core/gate/tests/rule.rs
+++ b/src/core/gate/tests/zone_gate.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::core::{
-        gate::{ChangeEnd, Permit, ZoneGate},
+        gate::{ChangeOutcome, Permit, ZoneGate},
         message::{Closing, GateStatus},
         ticket::AgentId,
         time::Instant,
@@ -18,7 +18,7 @@
     Instant::from_millis(ms)
 }
 
-fn blind(version: u64) -> GateStatus {
+fn status_at_version(version: u64) -> GateStatus {
     GateStatus {
         version,
         ..GateStatus::default()
@@ -28,34 +28,34 @@
 /// An entry that has read version 1 and knows one other entry.
 fn gate() -> ZoneGate {
     let mut gate = ZoneGate::new(OUTAGE_LIMIT_MS);
-    gate.row_written(at(900));
-    gate.head_read(at(1_000), 1);
-    gate.roster_read(at(1_000), &BTreeSet::from([OTHER]));
+    gate.record_row_written(at(900));
+    gate.record_head_read(at(1_000), 1);
+    gate.record_roster_read(at(1_000), &BTreeSet::from([OTHER]));
     gate
 }
 
 #[test]
 fn an_entry_that_never_read_the_roster_grants_nothing() {
     let mut gate = ZoneGate::new(OUTAGE_LIMIT_MS);
-    gate.head_read(at(0), 1);
-    assert!(!gate.grants(at(1), ZONE, "w01"));
-    gate.roster_read(at(0), &BTreeSet::new());
-    assert!(gate.grants(at(1), ZONE, "w01"));
+    gate.record_head_read(at(0), 1);
+    assert!(!gate.may_grant(at(1), ZONE, "w01"));
+    gate.record_roster_read(at(0), &BTreeSet::new());
+    assert!(gate.may_grant(at(1), ZONE, "w01"));
 }
 
 /// The platform is down for long and nobody changes anything: work must go on. It stops once
 /// another entry is silent, as that one may have written a closing before it died.
 #[test]
-fn a_plain_outage_does_not_stop_permits_until_an_entry_is_silent() {
+fn a_platform_outage_does_not_stop_permits_while_all_entries_respond() {
     let mut gate = gate();
     for second in 1..60 {
-        gate.heard(at(second * 1_000), OTHER, blind(1));
+        gate.record_status(at(second * 1_000), OTHER, status_at_version(1));
         assert!(
-            gate.grants(at(second * 1_000 + 999), ZONE, "w01"),
+            gate.may_grant(at(second * 1_000 + 999), ZONE, "w01"),
             "{second}"
         );
     }
-    assert!(!gate.grants(at(61_001), ZONE, "w01"));
+    assert!(!gate.may_grant(at(61_001), ZONE, "w01"));
 }
 
 /// An entry is cut from the platform and from new entries, which remove its row and close a zone
@@ -63,24 +63,24 @@
 #[test]
 fn permits_without_the_platform_end_before_the_row_may_be_removed() {
     let mut gate = gate();
-    gate.heard(at(120_000), OTHER, blind(1));
-    assert!(gate.grants(at(120_899), ZONE, "w01"));
-    assert!(!gate.grants(at(120_900), ZONE, "w01"));
-    gate.row_written(at(120_900));
-    assert!(gate.grants(at(120_901), ZONE, "w01"));
+    gate.record_status(at(120_000), OTHER, status_at_version(1));
+    assert!(gate.may_grant(at(120_899), ZONE, "w01"));
+    assert!(!gate.may_grant(at(120_900), ZONE, "w01"));
+    gate.record_row_written(at(120_900));
+    assert!(gate.may_grant(at(120_901), ZONE, "w01"));
 }
 
 /// An entry is cut from the platform alone, while another reads it: the other's word for how
 /// old its reading is keeps this one's workers going, and not for longer than an own reading.
 #[test]
-fn another_entrys_fresh_reading_counts_with_its_age() {
+fn another_entrys_recent_head_read_counts_with_its_age() {
     let mut gate = gate();
-    let mut fresh = blind(1);
+    let mut fresh = status_at_version(1);
     fresh.head_age_ms = Some(500);
-    gate.heard(at(10_000), OTHER, fresh);
-    gate.roster_read(at(10_000), &BTreeSet::from([OTHER, AgentId(3)]));
-    assert!(gate.grants(at(11_499), ZONE, "w01"));
-    assert!(!gate.grants(at(11_500), ZONE, "w01"));
+    gate.record_status(at(10_000), OTHER, fresh);
+    gate.record_roster_read(at(10_000), &BTreeSet::from([OTHER, AgentId(3)]));
+    assert!(gate.may_grant(at(11_499), ZONE, "w01"));
+    assert!(!gate.may_grant(at(11_500), ZONE, "w01"));
 }
 
 /// A closing's reply is lost in an outage. The zone counts as closed at its writer and at all
@@ -89,69 +89,69 @@
 fn a_closing_of_unknown_outcome_counts_until_the_head_is_read() {
     let mut gate = gate();
     let change = gate.begin_change(2, BTreeSet::from([Closing::Zone(ZONE.to_owned())]));
-    gate.end_change(at(1_500), change, ChangeEnd::MayHaveLanded);
-    assert!(!gate.grants(at(1_600), ZONE, "w01"));
-    assert!(gate.grants(at(1_600), "grindavik", "w01"));
+    gate.finish_change(at(1_500), change, ChangeOutcome::MaybeApplied);
+    assert!(!gate.may_grant(at(1_600), ZONE, "w01"));
+    assert!(gate.may_grant(at(1_600), "grindavik", "w01"));
     assert!(
         gate.status(at(1_600))
             .closing
             .contains(&Closing::Zone(ZONE.to_owned()))
     );
 
-    gate.head_read(at(2_000), 1);
+    gate.record_head_read(at(2_000), 1);
     assert!(
-        !gate.grants(at(2_000), ZONE, "w01"),
+        !gate.may_grant(at(2_000), ZONE, "w01"),
         "the write may still land"
     );
-    gate.head_read(at(40_000), 1);
+    gate.record_head_read(at(40_000), 1);
     assert!(
-        gate.grants(at(40_000), ZONE, "w01"),
+        gate.may_grant(at(40_000), ZONE, "w01"),
         "the platform dropped it"
     );
 }
 
 #[test]
-fn another_entrys_pending_closing_and_newer_version_count_here() {
+fn another_entrys_pending_closing_or_newer_version_stops_permits() {
     let mut gate = gate();
-    let mut closing = blind(1);
+    let mut closing = status_at_version(1);
     closing.closing.insert(Closing::Zone(ZONE.to_owned()));
-    gate.heard(at(10_000), OTHER, closing);
-    assert!(!gate.grants(at(10_001), ZONE, "w01"));
-    assert!(gate.grants(at(10_001), "grindavik", "w01"));
-    gate.heard(at(10_500), OTHER, blind(2));
-    assert!(!gate.grants(at(10_501), "grindavik", "w01"));
-    gate.hold(2);
-    assert!(gate.grants(at(10_501), "grindavik", "w01"));
+    gate.record_status(at(10_000), OTHER, closing);
+    assert!(!gate.may_grant(at(10_001), ZONE, "w01"));
+    assert!(gate.may_grant(at(10_001), "grindavik", "w01"));
+    gate.record_status(at(10_500), OTHER, status_at_version(2));
+    assert!(!gate.may_grant(at(10_501), "grindavik", "w01"));
+    gate.record_version(2);
+    assert!(gate.may_grant(at(10_501), "grindavik", "w01"));
 }
 
 /// A new entry writes a change before the others know of it, and dies: they would not miss it.
 #[test]
-fn an_entry_is_known_to_all_only_when_each_has_answered() {
+fn an_entry_is_known_to_all_only_when_each_has_replied() {
     let mut gate = gate();
     assert!(!gate.is_known_to_all());
-    gate.heard(at(1_100), OTHER, blind(1));
+    gate.record_status(at(1_100), OTHER, status_at_version(1));
     assert!(gate.is_known_to_all());
-    gate.meet(at(1_200), AgentId(3));
+    gate.add_member(at(1_200), AgentId(3));
     assert!(!gate.is_known_to_all());
 }
 
 /// A scan of the roster is under way when a new entry registers and makes itself known. It must
 /// not be forgotten when the scan, which missed its row, arrives: it may write from then on.
 #[test]
-fn an_entry_that_made_itself_known_during_a_scan_stays_known() {
+fn an_entry_announced_during_a_scan_stays_a_member() {
     let mut gate = gate();
-    gate.meet(at(2_100), AgentId(3));
-    gate.roster_read(at(2_000), &BTreeSet::from([OTHER]));
-    gate.heard(at(10_000), OTHER, blind(1));
-    assert!(!gate.grants(at(10_100), ZONE, "w01"));
-    gate.roster_read(at(10_100), &BTreeSet::from([OTHER]));
-    assert!(gate.grants(at(10_200), ZONE, "w01"));
+    gate.add_member(at(2_100), AgentId(3));
+    gate.record_roster_read(at(2_000), &BTreeSet::from([OTHER]));
+    gate.record_status(at(10_000), OTHER, status_at_version(1));
+    assert!(!gate.may_grant(at(10_100), ZONE, "w01"));
+    gate.record_roster_read(at(10_100), &BTreeSet::from([OTHER]));
+    assert!(gate.may_grant(at(10_200), ZONE, "w01"));
 }
 
 /// A reply that was under way for long arrives after a process was frozen: the permit counts
 /// from when the announcement was sent, and a lower version grants nothing.
 #[test]
-fn a_permit_counts_from_the_announcement_and_versions_only_grow() {
+fn a_permit_is_measured_from_the_announcement_and_ignores_older_versions() {
     let mut permit = Permit::unissued();
     permit.renew(at(1_000), 2, true, 3_000);
     assert!(permit.is_valid(at(3_999)));
--- a/src/core/runner/runner.rs
+++ b/src/core/runner/runner.rs
@@ -82,7 +82,7 @@
 
     /// When the permit to start tasks ends.
     pub(crate) const fn permit_until(&self) -> Instant {
-        self.permit.until()
+        self.permit.expires_at()
     }
 
     /// Newest configuration version that an entry named.
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -6,7 +6,7 @@
             admission::fits_somewhere,
             config::{Document, Head, Service},
             directory::{DigestLog, Directory, HomeLocation},
-            gate::{PERMIT_MS, ZoneGate},
+            gate::{PERMIT_DURATION_MS, ZoneGate},
             job::JobSpec,
             message::{Announcement, AnnouncementReply, Candidate, PeerEntry, roster_digest},
             placement::{HomeChoice, RunnerRing, active_homes},
@@ -162,7 +162,7 @@
         let may_grant = zone_open
             && inner
                 .gate
-                .grants(now, &announcement.availability_zone, &announcement.worker);
+                .may_grant(now, &announcement.availability_zone, &announcement.worker);
         let roster = inner.roster_for_agents(now);
         let roster_is_held = announcement.roster_digest == roster_digest(&roster);
         if inner.directory.record_announcement(now, announcement) {
@@ -173,7 +173,7 @@
             successors,
             config_version,
             zone_open,
-            permit_ms: if may_grant { PERMIT_MS } else { 0 },
+            permit_ms: if may_grant { PERMIT_DURATION_MS } else { 0 },
         }
     }
 
@@ -190,7 +190,7 @@
         let mut inner = self.lock();
         let held = inner.in_force.as_ref().map_or(0, |held| held.head.version);
         let version = newer.as_ref().map_or(held, |newer| newer.head.version);
-        inner.gate.head_read(read_at, version.max(held));
+        inner.gate.record_head_read(read_at, version.max(held));
         self.put_in_force(&mut inner, newer);
     }
 
@@ -205,7 +205,7 @@
             && newer.head.version > held
         {
             log::info!(version = newer.head.version; "configuration in force");
-            inner.gate.hold(newer.head.version);
+            inner.gate.record_version(newer.head.version);
             inner.in_force = Some(newer);
             self.tell_entries.notify_one();
             self.tell_agents.notify_one();
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -6,7 +6,7 @@
         core::{
             config::Document,
             directory::AgentDigest,
-            gate::{ChangeEnd, ChangeId},
+            gate::{ChangeId, ChangeOutcome},
             message::{Announcement, Closing, Digest, DigestReply, GateNotice, PeerEntry},
             roster::{RosterRow, RosterScan, entry_key},
             ticket::AgentId,
@@ -34,20 +34,20 @@
 pub(crate) struct ChangeInFlight {
     state: Arc<EntryState>,
     id: ChangeId,
-    end: ChangeEnd,
+    end: ChangeOutcome,
 }
 
 impl ChangeInFlight {
     /// The write certainly did not take effect and never will.
     pub(crate) fn refused(mut self) {
-        self.end = ChangeEnd::Refused;
+        self.end = ChangeOutcome::NotApplied;
     }
 }
 
 impl Drop for ChangeInFlight {
     fn drop(&mut self) {
         let now = self.state.timer.now();
-        self.state.lock().gate.end_change(now, self.id, self.end);
+        self.state.lock().gate.finish_change(now, self.id, self.end);
         self.state.tell_entries.notify_one();
     }
 }
@@ -103,12 +103,12 @@
     pub(crate) fn renew_identity(&self, identity: AgentId) {
         let mut inner = self.lock();
         inner.me.entry = identity;
-        inner.gate.forget_roster();
+        inner.gate.clear_roster();
     }
 
     /// This entry's row was written by a call sent at `sent_at`.
     pub(crate) fn row_written(&self, sent_at: Instant) {
-        self.lock().gate.row_written(sent_at);
+        self.lock().gate.record_row_written(sent_at);
     }
 
     /// Takes in the rows of the roster, scanned at `asked_at`, before the head row was read.
@@ -128,7 +128,7 @@
                 .others(me.entry)
                 .map(|other| other.entry)
                 .collect();
-            inner.gate.roster_read(asked_at, &others);
+            inner.gate.record_roster_read(asked_at, &others);
         }
         survey
     }
@@ -171,7 +171,7 @@
         let now = self.timer.now();
         let mut inner = self.lock();
         let from = digest.from.entry;
-        inner.gate.meet(now, from);
+        inner.gate.add_member(now, from);
         inner.heard_from.insert(from, now);
         inner
             .roster
@@ -213,7 +213,7 @@
         inner.digests.confirm(reply.entry, telling, &reply.unknown);
         inner
             .gate
-            .heard(asked_at, reply.entry, reply.status.clone());
+            .record_status(asked_at, reply.entry, reply.status.clone());
         reply.status.version > inner.gate.status(now).version
     }
 
@@ -236,7 +236,7 @@
         let change = ChangeInFlight {
             state: Arc::clone(self),
             id,
-            end: ChangeEnd::MayHaveLanded,
+            end: ChangeOutcome::MaybeApplied,
         };
         Some((change, check))
     }
--- a/src/entry/roster_keeper.rs
+++ b/src/entry/roster_keeper.rs
@@ -143,7 +143,7 @@
             .iter()
             .filter_map(|row| serde_json::from_str(&row.value).ok())
             .collect();
-        // The head must be read after the roster: see `ZoneGate::roster_read`.
+        // The head must be read after the roster: see `ZoneGate::record_roster_read`.
         self.keeper.refresh().await?;
         let survey = self.state.roster_read(asked_at, entries, &beats);
         self.surveyed_at = Some(asked_at);
