--- a/src/adapters/platform/budgeted_store.rs
+++ b/src/adapters/platform/budgeted_store.rs
@@ -38,7 +38,7 @@
             return Err(StoreError::Unavailable(refusal.as_str().to_owned()));
         }
         let result = call.await;
-        self.lock().ended(self.timer.now(), result.is_ok());
+        self.lock().record_result(self.timer.now(), result.is_ok());
         result
     }
 }
--- a/src/core/admission/admission.rs
+++ b/src/core/admission/admission.rs
@@ -11,16 +11,16 @@
 ///
 /// What is admitted late is run for nothing: the rest is room for waits and run times that turn
 /// out longer than learnt. Slots stay busy with a far shorter queue.
-const WAIT_SHARE: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Most tasks that wait at one home.
 const MAX_WAITING_TASKS: usize = 50_000;
 /// Shortest time after which a refused client is asked to come back, in milliseconds.
-const LEAST_RETRY_AFTER_MS: f64 = 100.0;
+const MIN_RETRY_AFTER_MS: f64 = 100.0;
 /// Longest time after which a refused client is asked to come back, in milliseconds.
-const MOST_RETRY_AFTER_MS: f64 = 30_000.0;
+const MAX_RETRY_AFTER_MS: f64 = 30_000.0;
 /// The time to come back is drawn from this much around the reckoned one, so that refused clients
 /// don't come back together.
-const JITTER: (f64, f64) = (0.75, 1.25);
+const JITTER_FACTORS: (f64, f64) = (0.75, 1.25);
 
 /// A job as admission sees it.
 #[derive(Debug, Clone, Copy)]
@@ -47,7 +47,7 @@
 /// Takes in jobs that can be done in time, refuses the others at once.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    drain: DrainRate,
+    drain_rate: DrainRate,
     rng: ChaCha8Rng,
 }
 
@@ -55,42 +55,43 @@
     /// Knows nothing yet and so admits everything; draws from this seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            drain: DrainRate::default(),
+            drain_rate: DrainRate::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// Notes what was started since the last note, and whether tasks wait now.
     pub(crate) fn record_starts(&mut self, now: Instant, starts: usize, waiting: bool) {
-        self.drain.record_starts(now, starts, waiting);
+        self.drain_rate.record_starts(now, starts, waiting);
     }
 
     /// Decides on a job.
-    pub(crate) fn decide(&mut self, offer: AdmissionRequest) -> Result<(), Overload> {
-        if offer.waiting == 0 {
+    pub(crate) fn decide(&mut self, request: AdmissionRequest) -> Result<(), Overload> {
+        if request.waiting == 0 {
             return Ok(());
         }
-        let Some(per_s) = self.drain.per_s() else {
-            if offer.waiting <= MAX_WAITING_TASKS {
+        let Some(per_s) = self.drain_rate.per_s() else {
+            if request.waiting <= MAX_WAITING_TASKS {
                 return Ok(());
             }
-            return Err(self.overload(LEAST_RETRY_AFTER_MS));
+            return Err(self.overload(MIN_RETRY_AFTER_MS));
         };
-        let ahead = (offer.waiting + offer.tasks) as f64;
+        let queued_tasks = (request.waiting + request.tasks) as f64;
         // Those in front have waited already: a rate that looks better is out of date.
-        let wait_ms = (ahead / per_s * 1_000.0).max(offer.oldest_wait_ms as f64);
-        let can_wait_ms = offer.deadline_ms.saturating_sub(offer.run_ms) as f64 * WAIT_SHARE;
-        if wait_ms <= can_wait_ms && offer.waiting <= MAX_WAITING_TASKS {
+        let expected_wait_ms = (queued_tasks / per_s * 1_000.0).max(request.oldest_wait_ms as f64);
+        let max_wait_ms =
+            request.deadline_ms.saturating_sub(request.run_ms) as f64 * MAX_WAIT_FRACTION;
+        if expected_wait_ms <= max_wait_ms && request.waiting <= MAX_WAITING_TASKS {
             return Ok(());
         }
-        Err(self.overload(wait_ms - can_wait_ms))
+        Err(self.overload(expected_wait_ms - max_wait_ms))
     }
 
     fn overload(&mut self, excess_ms: f64) -> Overload {
-        let reckoned_ms = excess_ms.clamp(LEAST_RETRY_AFTER_MS, MOST_RETRY_AFTER_MS);
-        let jitter = self.rng.random_range(JITTER.0..JITTER.1);
+        let base_ms = excess_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
+        let jitter = self.rng.random_range(JITTER_FACTORS.0..JITTER_FACTORS.1);
         Overload {
-            retry_after_ms: (reckoned_ms * jitter) as u64,
+            retry_after_ms: (base_ms * jitter) as u64,
         }
     }
 }
--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -7,7 +7,7 @@
 };
 
 /// An admission that has seen 100 starts a second while tasks waited.
-fn at_100_a_second() -> Admission {
+fn admission_at_100_starts_per_s() -> Admission {
     let mut admission = Admission::new(3);
     for step in 0..200 {
         admission.record_starts(Instant::from_millis(step * 10), 1, true);
@@ -15,7 +15,7 @@
     admission
 }
 
-const fn offer(waiting: usize, tasks: usize, deadline_ms: u64) -> AdmissionRequest {
+const fn request(waiting: usize, tasks: usize, deadline_ms: u64) -> AdmissionRequest {
     AdmissionRequest {
         waiting,
         oldest_wait_ms: 0,
@@ -30,7 +30,7 @@
         $(
             #[test]
             fn $name() {
-                let verdict = at_100_a_second().decide(offer($waiting, $tasks, $deadline_ms));
+                let verdict = admission_at_100_starts_per_s().decide(request($waiting, $tasks, $deadline_ms));
                 assert_eq!(verdict.is_ok(), $admitted, "{verdict:?}");
             }
         )+
@@ -40,18 +40,18 @@
 admission_cases! {
     an_empty_queue_admits_whatever_the_deadline: 0 waiting, 200 tasks, 100 ms => true;
     a_wait_well_below_the_deadline_is_admitted: 50 waiting, 10 tasks, 2_000 ms => true;
-    a_wait_close_to_the_deadline_is_refused: 150 waiting, 10 tasks, 2_000 ms => false;
+    a_wait_close_to_the_deadline_is_rejected: 150 waiting, 10 tasks, 2_000 ms => false;
     the_jobs_own_tasks_count: 10 waiting, 150 tasks, 2_000 ms => false;
-    a_deadline_shorter_than_a_run_is_refused: 1 waiting, 1 tasks, 100 ms => false;
+    a_deadline_shorter_than_a_run_is_rejected: 1 waiting, 1 tasks, 100 ms => false;
 }
 
 /// A burst is refused; all clients come back when the queue is expected to have drained. Without
 /// jitter they would come back together.
 #[test]
-fn refused_clients_come_back_after_the_excess_has_drained_and_not_together() {
-    let mut admission = at_100_a_second();
+fn retry_times_cover_the_excess_queue_and_are_jittered() {
+    let mut admission = admission_at_100_starts_per_s();
     let mut times: Vec<u64> = (0..50)
-        .filter_map(|_| admission.decide(offer(1_000, 1, 2_000)).err())
+        .filter_map(|_| admission.decide(request(1_000, 1, 2_000)).err())
         .map(|Overload { retry_after_ms }| retry_after_ms)
         .collect();
     assert_eq!(times.len(), 50);
@@ -67,27 +67,27 @@
 /// A thousand jobs of long tasks come at once: slots fill, and then nothing starts for seconds.
 /// That is no reason to refuse the rest.
 #[test]
-fn long_tasks_that_fill_all_slots_are_no_overload_yet() {
+fn long_tasks_that_fill_all_slots_are_not_an_overload() {
     let mut admission = Admission::new(3);
     for step in 0..200 {
         admission.record_starts(Instant::from_millis(step * 10), 0, true);
     }
-    assert!(admission.decide(offer(100, 1, 5_000)).is_ok());
+    assert!(admission.decide(request(100, 1, 5_000)).is_ok());
 }
 
 /// The rate was learnt before a zone left; what waits has waited too long already.
 #[test]
-fn a_long_wait_counts_whatever_the_rate_says() {
-    let waited = AdmissionRequest {
+fn the_oldest_wait_overrides_an_outdated_rate() {
+    let request = AdmissionRequest {
         oldest_wait_ms: 1_200,
-        ..offer(10, 1, 2_000)
+        ..request(10, 1, 2_000)
     };
-    assert!(at_100_a_second().decide(waited).is_err());
+    assert!(admission_at_100_starts_per_s().decide(request).is_err());
 }
 
 #[test]
-fn nothing_is_refused_before_the_rate_is_learnt() {
-    assert!(Admission::new(1).decide(offer(1_000, 1, 300)).is_ok());
+fn nothing_is_rejected_before_the_rate_is_known() {
+    assert!(Admission::new(1).decide(request(1_000, 1, 300)).is_ok());
 }
 
 proptest! {
@@ -106,21 +106,21 @@
         let mut history: Vec<(f64, f64)> = Vec::new();
         let mut now = Instant::from_millis(1_000);
         let mut waiting_before = false;
-        for (passed_ms, starts, waiting) in steps {
-            now = now.plus_ms(passed_ms);
+        for (elapsed_ms, starts, waiting) in steps {
+            now = now.plus_ms(elapsed_ms);
             rate.record_starts(now, starts, waiting);
             if waiting_before {
-                history.push((passed_ms as f64 * 1_000.0, starts as f64));
+                history.push((elapsed_ms as f64 * 1_000.0, starts as f64));
             }
             waiting_before = waiting;
         }
         let mut age_us = 0.0;
         let (mut starts, mut queued_us) = (0.0, 0.0);
-        for (passed_us, started) in history.iter().rev() {
+        for (elapsed_us, started) in history.iter().rev() {
             let weight = (-age_us / 4_000_000.0f64).exp();
             starts += started * weight;
-            queued_us += passed_us * weight;
-            age_us += passed_us;
+            queued_us += elapsed_us * weight;
+            age_us += elapsed_us;
         }
         match rate.per_s() {
             None => prop_assert!(queued_us < 200_001.0 || starts < 5.001 && queued_us < 3_500_001.0),
--- a/src/core/demand/demand_queue.rs
+++ b/src/core/demand/demand_queue.rs
@@ -27,43 +27,43 @@
 #[derive(Debug, Default)]
 pub(crate) struct DemandQueue {
     demands: BTreeMap<AgentId, Demand>,
-    order: BTreeSet<(Instant, AgentId)>,
+    by_wait: BTreeSet<(Instant, AgentId)>,
     holds: BTreeMap<AgentId, Hold>,
     held: u16,
 }
 
 impl DemandQueue {
     /// Sets how many tasks a home waits with, the longest since `since`.
-    pub(crate) fn set(&mut self, home: AgentId, since: Instant, tasks: u16) {
-        self.withdraw(home);
+    pub(crate) fn set_demand(&mut self, home: AgentId, since: Instant, tasks: u16) {
+        self.remove_demand(home);
         if tasks > 0 {
             self.demands.insert(home, Demand { since, tasks });
-            self.order.insert((since, home));
+            self.by_wait.insert((since, home));
         }
     }
 
-    fn withdraw(&mut self, home: AgentId) {
+    fn remove_demand(&mut self, home: AgentId) {
         if let Some(demand) = self.demands.remove(&home) {
-            self.order.remove(&(demand.since, home));
+            self.by_wait.remove(&(demand.since, home));
         }
     }
 
     /// Drops all demands of a home and the slots held for it.
-    pub(crate) fn forget(&mut self, home: AgentId) {
-        self.withdraw(home);
+    pub(crate) fn remove_home(&mut self, home: AgentId) {
+        self.remove_demand(home);
         if let Some(hold) = self.holds.remove(&home) {
             self.held -= hold.slots;
         }
     }
 
     /// Holds one slot for the home that has waited longest, and names it.
-    pub(crate) fn offer(&mut self, now: Instant) -> Option<AgentId> {
-        let (since, home) = *self.order.first()?;
+    pub(crate) fn hold_slot(&mut self, now: Instant) -> Option<AgentId> {
+        let (since, home) = *self.by_wait.first()?;
         let demand = self.demands.get_mut(&home)?;
         demand.tasks -= 1;
         if demand.tasks == 0 {
             self.demands.remove(&home);
-            self.order.remove(&(since, home));
+            self.by_wait.remove(&(since, home));
         }
         let hold = self.holds.entry(home).or_insert(Hold {
             slots: 0,
@@ -76,7 +76,7 @@
     }
 
     /// Takes one slot held for a home; false if none is.
-    pub(crate) fn take_hold(&mut self, home: AgentId) -> bool {
+    pub(crate) fn consume_hold(&mut self, home: AgentId) -> bool {
         let Some(hold) = self.holds.get_mut(&home) else {
             return false;
         };
@@ -89,7 +89,7 @@
     }
 
     /// Gives back slots whose homes did not use them in time.
-    pub(crate) fn expire(&mut self, now: Instant) {
+    pub(crate) fn expire_holds(&mut self, now: Instant) {
         let held = &mut self.held;
         self.holds.retain(|_, hold| {
             let keep = now < hold.until;
--- a/src/core/demand/tests.rs
+++ b/src/core/demand/tests.rs
@@ -8,19 +8,19 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Set {
+    SetDemand {
         home: u64,
         waited_ms: u64,
         tasks: u16,
     },
-    Forget {
+    RemoveHome {
         home: u64,
     },
-    Offer,
-    Take {
+    HoldSlot,
+    ConsumeHold {
         home: u64,
     },
-    Wait {
+    Advance {
         ms: u64,
     },
 }
@@ -33,7 +33,7 @@
 }
 
 impl NaiveQueue {
-    fn offer(&mut self, now: Instant) -> Option<u64> {
+    fn hold_slot(&mut self, now: Instant) -> Option<u64> {
         self.demands.sort();
         let first = self.demands.first_mut()?;
         let home = first.1;
@@ -48,7 +48,7 @@
         Some(home)
     }
 
-    fn take(&mut self, home: u64) -> bool {
+    fn consume_hold(&mut self, home: u64) -> bool {
         let position = self.holds.iter().position(|hold| hold.0 == home);
         position.map(|at| self.holds.remove(at)).is_some()
     }
@@ -56,16 +56,16 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..5u64, 0..500u64, 0..4u16).prop_map(|(home, waited_ms, tasks)| Step::Set {
+        (0..5u64, 0..500u64, 0..4u16).prop_map(|(home, waited_ms, tasks)| Step::SetDemand {
             home,
             waited_ms,
             tasks
         }),
-        (0..5u64).prop_map(|home| Step::Forget { home }),
-        Just(Step::Offer),
-        Just(Step::Offer),
-        (0..5u64).prop_map(|home| Step::Take { home }),
-        any::<u8>().prop_map(|ms| Step::Wait { ms: u64::from(ms) }),
+        (0..5u64).prop_map(|home| Step::RemoveHome { home }),
+        Just(Step::HoldSlot),
+        Just(Step::HoldSlot),
+        (0..5u64).prop_map(|home| Step::ConsumeHold { home }),
+        any::<u8>().prop_map(|ms| Step::Advance { ms: u64::from(ms) }),
     ]
 }
 
@@ -77,34 +77,34 @@
     })]
 
     #[test]
-    fn demand_queue_agrees_with_a_scanned_list(steps in proptest::collection::vec(step(), 0..60)) {
+    fn demand_queue_agrees_with_a_linear_scan(steps in proptest::collection::vec(step(), 0..60)) {
         let mut queue = DemandQueue::default();
         let mut naive = NaiveQueue::default();
         let mut now = Instant::from_millis(10_000);
         for step in steps {
             match step {
-                Step::Set { home, waited_ms, tasks } => {
+                Step::SetDemand { home, waited_ms, tasks } => {
                     let since = Instant::from_millis(now.millis_since(Instant::default()) - waited_ms);
-                    queue.set(AgentId(home), since, tasks);
+                    queue.set_demand(AgentId(home), since, tasks);
                     naive.demands.retain(|demand| demand.1 != home);
                     if tasks > 0 {
                         naive.demands.push((since, home, tasks));
                     }
                 }
-                Step::Forget { home } => {
-                    queue.forget(AgentId(home));
+                Step::RemoveHome { home } => {
+                    queue.remove_home(AgentId(home));
                     naive.demands.retain(|demand| demand.1 != home);
                     naive.holds.retain(|hold| hold.0 != home);
                 }
-                Step::Offer => {
-                    prop_assert_eq!(queue.offer(now), naive.offer(now).map(AgentId));
+                Step::HoldSlot => {
+                    prop_assert_eq!(queue.hold_slot(now), naive.hold_slot(now).map(AgentId));
                 }
-                Step::Take { home } => {
-                    prop_assert_eq!(queue.take_hold(AgentId(home)), naive.take(home));
+                Step::ConsumeHold { home } => {
+                    prop_assert_eq!(queue.consume_hold(AgentId(home)), naive.consume_hold(home));
                 }
-                Step::Wait { ms } => {
+                Step::Advance { ms } => {
                     now = now.plus_ms(ms);
-                    queue.expire(now);
+                    queue.expire_holds(now);
                     naive.holds.retain(|hold| now < hold.1);
                 }
             }
--- a/src/core/dispatch/ends.rs
+++ b/src/core/dispatch/ends.rs
@@ -81,7 +81,7 @@
         let Some(seen) = task_end(open, end, ran_ms) else {
             return;
         };
-        if seen == HealthSample::Good || self.most_others_are_sound(worker) {
+        if seen == HealthSample::Success || self.most_others_are_sound(worker) {
             self.note_health(now, worker, seen);
         }
     }
@@ -169,7 +169,7 @@
     let slow_ms = (open.estimate_ms * SLOW_TIMES).max(open.estimate_ms + SLOW_LEAST_MS);
     match end {
         RunOutcome::Done if ran_ms > slow_ms => Some(HealthSample::Slow),
-        RunOutcome::Done => Some(HealthSample::Good),
+        RunOutcome::Done => Some(HealthSample::Success),
         RunOutcome::Failed | RunOutcome::NotStarted(NotStartedReason::Unhealthy) => {
             Some(HealthSample::Failed)
         }
--- a/src/core/dispatch/placing.rs
+++ b/src/core/dispatch/placing.rs
@@ -159,7 +159,7 @@
     news: Option<&EvacuatedZones>,
 ) -> Option<Resources> {
     worker.usable_view(now, job, step, news)?;
-    let is_trusted = worker.runs.len() < usize::from(worker.health.most_tasks(now));
+    let is_trusted = worker.runs.len() < usize::from(worker.health.max_tasks(now));
     let is_open = is_trusted && now >= worker.paused_until;
     let free = worker.free();
     (is_open && step.needs.fits(free)).then_some(free)
--- a/src/core/home/intake.rs
+++ b/src/core/home/intake.rs
@@ -80,7 +80,7 @@
     fn is_trusted(&self, now: Instant, runner: AgentId) -> bool {
         self.links
             .get(&runner)
-            .is_some_and(|link| link.health.most_tasks(now) > 1)
+            .is_some_and(|link| link.health.max_tasks(now) > 1)
     }
 
     /// Leaves a runner alone whose tasks end badly, unless most others are left alone already:
@@ -93,7 +93,7 @@
             .count();
         let may_eject = (alone + 1) * LEFT_ALONE_SHARE <= self.links.len();
         if let Some(link) = self.links.get_mut(&runner)
-            && (may_eject || end == HealthSample::Good)
+            && (may_eject || end == HealthSample::Success)
             && let Some(reason) = link.health.record(now, end)
         {
             self.actions.push(HomeAction::CountEjection(reason));
@@ -225,7 +225,7 @@
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
             Some(HealthSample::Slow)
         }
-        TaskOutcome::Done { .. } => Some(HealthSample::Good),
+        TaskOutcome::Done { .. } => Some(HealthSample::Success),
         TaskOutcome::Failed { .. }
         | TaskOutcome::MayHaveRun {
             reason: MayHaveRunReason::BackendLost,
--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -154,7 +154,7 @@
 
     /// Whether tasks can be sent there now.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
-        let under_limit = self.outstanding.len() < usize::from(self.health.most_tasks(now));
+        let under_limit = self.outstanding.len() < usize::from(self.health.max_tasks(now));
         self.state == LinkState::Open && now >= self.paused_until && under_limit
     }
 
@@ -186,7 +186,7 @@
             own: self.own,
             free_slots: self.likely_free(now),
             outstanding: u16::try_from(self.outstanding.len()).unwrap_or(u16::MAX),
-            heard_at: self.heard_at,
+            reported_at: self.heard_at,
         }
     }
 
--- a/src/core/placement/home_share.rs
+++ b/src/core/placement/home_share.rs
@@ -11,19 +11,19 @@
 /// Least number of homes, so that one may die or leave.
 const MIN_HOMES: usize = 2;
 /// Odd constant of the `splitmix64` finalizer's first step, spreads neighbouring identities.
-const SPREAD: u64 = 0xbf58_476d_1ce4_e5b9;
+const SPLITMIX64_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
 
 /// A total order of agents that every entry reckons alike, unrelated to zones and names.
 pub(super) fn rank(agent: AgentId) -> (u64, AgentId) {
-    let spread = (agent.0 ^ (agent.0 >> 30)).wrapping_mul(SPREAD);
-    (spread ^ (spread >> 27), agent)
+    let mixed = (agent.0 ^ (agent.0 >> 30)).wrapping_mul(SPLITMIX64_MULTIPLIER);
+    (mixed ^ (mixed >> 27), agent)
 }
 
 /// The agents that new jobs are given to, out of all that could be homes.
 pub(crate) fn active_homes(mut agents: Vec<AgentId>) -> Vec<AgentId> {
-    let wanted = agents.len().div_ceil(RUNNERS_PER_HOME).max(MIN_HOMES);
+    let count = agents.len().div_ceil(RUNNERS_PER_HOME).max(MIN_HOMES);
     agents.sort_unstable_by_key(|agent| rank(*agent));
-    agents.truncate(wanted);
+    agents.truncate(count);
     agents
 }
 
--- a/src/core/placement/most_free.rs
+++ b/src/core/placement/most_free.rs
@@ -25,18 +25,18 @@
 }
 
 /// Greater is better.
-const fn merit(view: &RunnerView) -> (bool, u16) {
+const fn preference(view: &RunnerView) -> (bool, u16) {
     (view.own, view.free_slots)
 }
 
 impl Placement for MostFree {
     fn choose(&mut self, _now: Instant, views: &[RunnerView]) -> Option<usize> {
         let free = || views.iter().enumerate().filter(|(_, v)| v.free_slots > 0);
-        let best = free().map(|(_, view)| merit(view)).max()?;
-        let ties = free().filter(|(_, view)| merit(view) == best).count();
+        let best = free().map(|(_, view)| preference(view)).max()?;
+        let ties = free().filter(|(_, view)| preference(view) == best).count();
         let pick = self.rng.random_range(0..ties);
         free()
-            .filter(|(_, view)| merit(view) == best)
+            .filter(|(_, view)| preference(view) == best)
             .nth(pick)
             .map(|(position, _)| position)
     }
--- a/src/core/placement/runner_view.rs
+++ b/src/core/placement/runner_view.rs
@@ -12,5 +12,5 @@
     /// Tasks of this home that run there.
     pub(crate) outstanding: u16,
     /// When the runner last reported.
-    pub(crate) heard_at: Instant,
+    pub(crate) reported_at: Instant,
 }
--- a/src/core/placement/shortlist.rs
+++ b/src/core/placement/shortlist.rs
@@ -39,11 +39,11 @@
         let start = own.as_ref().map_or_else(
             || {
                 self.runners
-                    .partition_point(|one| rank(one.runner) < rank(home))
+                    .partition_point(|candidate| rank(candidate.runner) < rank(home))
             },
             |own| own.start,
         );
-        let around = (0..count).map(|step| {
+        let in_ring_order = (0..count).map(|step| {
             let index = (start + step) % count;
             Candidate {
                 own: own.as_ref().is_some_and(|own| own.contains(&index)),
@@ -51,11 +51,11 @@
             }
         });
         if count <= NEAR_RUNNERS + FREE_RUNNERS {
-            return around.collect();
+            return in_ring_order.collect();
         }
-        let beyond = around.clone().skip(NEAR_RUNNERS);
-        let free = beyond.filter(|candidate| candidate.free_slots > 0);
-        around
+        let farther = in_ring_order.clone().skip(NEAR_RUNNERS);
+        let free = farther.filter(|candidate| candidate.free_slots > 0);
+        in_ring_order
             .take(NEAR_RUNNERS)
             .chain(free.take(FREE_RUNNERS))
             .collect()
--- a/src/core/run_times/tests.rs
+++ b/src/core/run_times/tests.rs
@@ -7,7 +7,7 @@
 
 /// Declared times are off by ten times; after a few runs they no longer count.
 #[test]
-fn a_declared_time_holds_only_until_runs_are_known() {
+fn a_declared_time_is_used_only_until_enough_runs_are_recorded() {
     let mut times = RunTimes::default();
     assert_eq!(times.expected_ms("rent-index", 5_000), 5_000);
     for _ in 0..20 {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn old_runs_fade() {
+fn old_runs_are_replaced_by_recent_ones() {
     let mut times = RunTimes::default();
     for _ in 0..1_000 {
         times.record("rent-index", 1_000);
@@ -48,8 +48,8 @@
         let mut sorted = runs;
         sorted.sort_unstable();
         let rank = (quantile * sorted.len() as f64).ceil() as usize;
-        let wanted = sorted[rank.max(1) - 1] as f64;
-        let found = times.quantile_ms("s", quantile).unwrap_or(0) as f64;
-        prop_assert!((found - wanted).abs() <= wanted * 0.01 + 1.0, "{found} {wanted}");
+        let expected = sorted[rank.max(1) - 1] as f64;
+        let actual = times.quantile_ms("s", quantile).unwrap_or(0) as f64;
+        prop_assert!((actual - expected).abs() <= expected * 0.01 + 1.0, "{actual} {expected}");
     }
 }
--- a/src/core/runner/offers.rs
+++ b/src/core/runner/offers.rs
@@ -33,10 +33,10 @@
             return;
         }
         while self.free_slots() > 0
-            && let Some(home) = self.demands.offer(now)
+            && let Some(home) = self.demands.hold_slot(now)
         {
             let Some(session) = self.links.get(&home).and_then(|link| link.session) else {
-                self.demands.forget(home);
+                self.demands.remove_home(home);
                 continue;
             };
             let free = self.free_for(home);
@@ -53,9 +53,10 @@
         waited_ms: u64,
     ) -> Vec<RunnerAction> {
         if tasks == 0 {
-            self.demands.forget(home);
+            self.demands.remove_home(home);
         } else {
-            self.demands.set(home, now.minus_ms(waited_ms), tasks);
+            self.demands
+                .set_demand(home, now.minus_ms(waited_ms), tasks);
         }
         Vec::new()
     }
--- a/src/core/runner/runner.rs
+++ b/src/core/runner/runner.rs
@@ -126,7 +126,7 @@
                 Vec::new()
             }
             RunnerEvent::Tick => {
-                self.demands.expire(now);
+                self.demands.expire_holds(now);
                 let keep_ms = self.settings.keep_outcome_ms;
                 for link in self.links.values_mut() {
                     link.drop_old_outcomes(now, keep_ms);
@@ -181,7 +181,7 @@
         link.epoch = epoch;
         link.starts_seen = 0;
         link.used_at = now;
-        self.demands.forget(home);
+        self.demands.remove_home(home);
         let replaced = link.session.replace(session);
         self.sessions.insert(session, (home, epoch));
         let mut actions = Vec::new();
@@ -214,7 +214,7 @@
         if let Some(actions) = self.repeated_start(session, home, task) {
             return actions;
         }
-        let held = self.demands.take_hold(home);
+        let held = self.demands.consume_hold(home);
         if let Some(reason) = self.refusal(now, home, epoch, &start, held) {
             return vec![
                 RunnerAction::CountRefusal(reason),
@@ -324,7 +324,7 @@
         {
             link.session = None;
             link.used_at = now;
-            self.demands.forget(home);
+            self.demands.remove_home(home);
         }
         Vec::new()
     }
--- a/src/core/store_budget/mod.rs
+++ b/src/core/store_budget/mod.rs
@@ -1,7 +1,7 @@
 //! This entry's share of what the platform's store can take.
 
-mod bucket;
 mod store_budget;
+mod token_bucket;
 
 #[cfg(test)]
 mod tests;
--- a/src/core/store_budget/store_budget.rs
+++ b/src/core/store_budget/store_budget.rs
@@ -1,20 +1,20 @@
 //! Which calls to the platform's store may be made now.
 
 use {
-    super::bucket::Bucket,
+    super::token_bucket::TokenBucket,
     crate::core::{time::Instant, verdict::reasons},
     rand::{RngExt, SeedableRng},
     rand_chacha::ChaCha8Rng,
 };
 
 /// Failures in a row after which calls are held back.
-const FAILURES_BEFORE_PAUSE: u32 = 3;
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
 /// First pause after that, in milliseconds; it doubles with each further failure.
-const FIRST_PAUSE_MS: u64 = 100;
+const INITIAL_BACKOFF_MS: u64 = 100;
 /// Longest pause, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 2_000;
+const MAX_BACKOFF_MS: u64 = 2_000;
 /// Part of its share that an entry keeps for urgent calls: a quarter.
-const KEPT_DIVISOR: u64 = 4;
+const URGENT_RESERVE_DIVISOR: u64 = 4;
 
 /// What all entries together may call, a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 reasons! {
     /// Why a call is not made; nothing was sent.
-    BudgetRefusal {
+    BudgetRejection {
         /// This entry's share of reads is used up.
         Reads => "over_read_budget",
         /// This entry's share of writes is used up.
@@ -61,10 +61,10 @@
 #[derive(Debug)]
 pub(crate) struct StoreBudget {
     rates: StoreRates,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
     failures: u32,
-    paused_until: Instant,
+    backoff_until: Instant,
     rng: ChaCha8Rng,
 }
 
@@ -73,16 +73,16 @@
     pub(crate) fn new(rates: StoreRates, entries: u64, seed: u64) -> Self {
         Self {
             rates,
-            reads: Bucket::new(share(rates.reads_per_s, entries)),
-            writes: Bucket::new(share(rates.writes_per_s, entries)),
+            reads: TokenBucket::new(share(rates.reads_per_s, entries)),
+            writes: TokenBucket::new(share(rates.writes_per_s, entries)),
             failures: 0,
-            paused_until: Instant::default(),
+            backoff_until: Instant::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// Takes in how many entries there are, this one included.
-    pub(crate) fn set_entries(&mut self, now: Instant, entries: u64) {
+    pub(crate) fn set_entry_count(&mut self, now: Instant, entries: u64) {
         let (reads, writes) = (self.rates.reads_per_s, self.rates.writes_per_s);
         self.reads.set_rate(now, share(reads, entries));
         self.writes.set_rate(now, share(writes, entries));
@@ -94,40 +94,40 @@
         now: Instant,
         kind: CallKind,
         urgency: Urgency,
-    ) -> Result<(), BudgetRefusal> {
-        if urgency == Urgency::Bulk && now < self.paused_until {
-            return Err(BudgetRefusal::Pausing);
+    ) -> Result<(), BudgetRejection> {
+        if urgency == Urgency::Bulk && now < self.backoff_until {
+            return Err(BudgetRejection::Pausing);
         }
-        let (bucket, refusal) = match kind {
-            CallKind::Read => (&mut self.reads, BudgetRefusal::Reads),
-            CallKind::Write => (&mut self.writes, BudgetRefusal::Writes),
+        let (bucket, rejection) = match kind {
+            CallKind::Read => (&mut self.reads, BudgetRejection::Reads),
+            CallKind::Write => (&mut self.writes, BudgetRejection::Writes),
         };
-        let kept = match urgency {
+        let reserved = match urgency {
             Urgency::Urgent => 0,
-            Urgency::Bulk => bucket.per_s() / KEPT_DIVISOR,
+            Urgency::Bulk => bucket.per_s() / URGENT_RESERVE_DIVISOR,
         };
-        if bucket.take(now, kept) {
+        if bucket.try_take(now, reserved) {
             Ok(())
         } else {
-            Err(refusal)
+            Err(rejection)
         }
     }
 
     /// Takes in how a call went.
-    pub(crate) fn ended(&mut self, now: Instant, succeeded: bool) {
+    pub(crate) fn record_result(&mut self, now: Instant, succeeded: bool) {
         if succeeded {
             self.failures = 0;
-            self.paused_until = self.paused_until.min(now);
+            self.backoff_until = self.backoff_until.min(now);
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        if self.failures < FAILURES_BEFORE_PAUSE {
+        if self.failures < FAILURES_BEFORE_BACKOFF {
             return;
         }
-        let doublings = (self.failures - FAILURES_BEFORE_PAUSE).min(u64::BITS / 4);
-        let longest_ms = (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS);
-        let pause_ms = self.rng.random_range(longest_ms / 2..=longest_ms);
-        self.paused_until = now.plus_ms(pause_ms);
+        let doublings = (self.failures - FAILURES_BEFORE_BACKOFF).min(u64::BITS / 4);
+        let max_ms = (INITIAL_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        let backoff_ms = self.rng.random_range(max_ms / 2..=max_ms);
+        self.backoff_until = now.plus_ms(backoff_ms);
     }
 }
 
--- a/src/core/store_budget/tests.rs
+++ b/src/core/store_budget/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the platform budget.
 
 use {
-    super::{CallKind, StoreBudget, StoreRates, Urgency, store_budget::BudgetRefusal},
+    super::{CallKind, StoreBudget, StoreRates, Urgency, store_budget::BudgetRejection},
     crate::core::time::Instant,
     proptest::{prelude::*, test_runner::RngSeed},
     std::collections::BTreeSet,
@@ -28,14 +28,14 @@
     /// than its share and one second's burst.
     #[test]
     fn an_entry_never_exceeds_its_share(
-        pauses_us in prop::collection::vec(0_u64..20_000, 1..2_000),
+        intervals_us in prop::collection::vec(0_u64..20_000, 1..2_000),
         entries in 1_u64..20,
     ) {
         let mut budget = StoreBudget::new(RATES, entries, 1);
         let mut now_us = 0;
         let mut writes = 0;
-        for pause_us in pauses_us {
-            now_us += pause_us;
+        for interval_us in intervals_us {
+            now_us += interval_us;
             let now = Instant::from_micros(now_us);
             writes += u64::from(budget.admit(now, CallKind::Write, Urgency::Urgent).is_ok());
             let share = RATES.writes_per_s / entries;
@@ -47,7 +47,7 @@
 /// Clients send keys as fast as they can. The roster's beat and the head's reading must still get
 /// through, or the entry would lose its permits to its own clients.
 #[test]
-fn bulk_calls_leave_a_quarter_to_urgent_ones() {
+fn bulk_calls_cannot_use_the_urgent_reserve() {
     let mut budget = StoreBudget::new(RATES, 2, 1);
     let admitted = (0..1_000)
         .filter(|_| budget.admit(at(0), CallKind::Read, Urgency::Bulk).is_ok())
@@ -55,19 +55,19 @@
     assert_eq!(admitted, 375);
     assert_eq!(
         budget.admit(at(0), CallKind::Read, Urgency::Bulk),
-        Err(BudgetRefusal::Reads)
+        Err(BudgetRejection::Reads)
     );
     assert!(budget.admit(at(0), CallKind::Read, Urgency::Urgent).is_ok());
 }
 
 /// The store is back after an outage. Entries that had paused must not come back together.
 #[test]
-fn pauses_grow_end_at_different_times_and_end_with_a_success() {
+fn backoff_grows_is_jittered_and_ends_with_a_success() {
     let ends: BTreeSet<u64> = (0..20)
         .map(|seed| {
             let mut budget = StoreBudget::new(RATES, 20, seed);
             for _ in 0..12 {
-                budget.ended(at(0), false);
+                budget.record_result(at(0), false);
             }
             (0..3_000)
                 .find(|ms| budget.admit(at(*ms), CallKind::Read, Urgency::Bulk).is_ok())
@@ -81,15 +81,15 @@
     );
 
     let mut budget = StoreBudget::new(RATES, 2, 1);
-    budget.ended(at(0), false);
-    budget.ended(at(0), false);
+    budget.record_result(at(0), false);
+    budget.record_result(at(0), false);
     assert!(budget.admit(at(0), CallKind::Read, Urgency::Bulk).is_ok());
-    budget.ended(at(0), false);
+    budget.record_result(at(0), false);
     assert_eq!(
         budget.admit(at(0), CallKind::Read, Urgency::Bulk),
-        Err(BudgetRefusal::Pausing)
+        Err(BudgetRejection::Pausing)
     );
     assert!(budget.admit(at(0), CallKind::Read, Urgency::Urgent).is_ok());
-    budget.ended(at(1), true);
+    budget.record_result(at(1), true);
     assert!(budget.admit(at(1), CallKind::Read, Urgency::Bulk).is_ok());
 }
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -93,7 +93,7 @@
         let mut homes = self.tickets.homes(now);
         homes.retain(|home| self.directory.takes_work(now, *home));
         prefer_open(&mut homes, &self.directory, self.in_force.as_ref());
-        self.home_choice.renew(now, homes);
+        self.home_choice.refresh(now, homes);
     }
 
     fn mint_from_choice(&mut self, now: Instant, count: usize) -> Vec<Ticket> {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -222,7 +222,7 @@
             budget
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .set_entries(timer.now(), entries);
+                .set_entry_count(timer.now(), entries);
         }
         metrics.set(Gauge::AgentsAlive, alive as u64);
         let version = state.in_force().map_or(0, |held| held.head.version);
