--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -7,7 +7,7 @@
 };
 
 /// An admission that has seen 100 starts a second while tasks waited.
-fn admission_at_100_starts_per_s() -> Admission {
+fn admission_at_100_per_s() -> Admission {
     let mut admission = Admission::new(3);
     for step in 0..200 {
         admission.record_starts(Instant::from_millis(step * 10), 1, true);
@@ -30,7 +30,8 @@
         $(
             #[test]
             fn $name() {
-                let verdict = admission_at_100_starts_per_s().decide(request($waiting, $tasks, $deadline_ms));
+                let verdict =
+                    admission_at_100_per_s().decide(request($waiting, $tasks, $deadline_ms));
                 assert_eq!(verdict.is_ok(), $admitted, "{verdict:?}");
             }
         )+
@@ -49,7 +50,7 @@
 /// jitter they would come back together.
 #[test]
 fn retry_times_cover_the_excess_queue_and_are_jittered() {
-    let mut admission = admission_at_100_starts_per_s();
+    let mut admission = admission_at_100_per_s();
     let mut times: Vec<u64> = (0..50)
         .filter_map(|_| admission.decide(request(1_000, 1, 2_000)).err())
         .map(|Overload { retry_after_ms }| retry_after_ms)
@@ -82,7 +83,7 @@
         oldest_wait_ms: 1_200,
         ..request(10, 1, 2_000)
     };
-    assert!(admission_at_100_starts_per_s().decide(request).is_err());
+    assert!(admission_at_100_per_s().decide(request).is_err());
 }
 
 #[test]
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -42,7 +42,7 @@
 
 most_free_cases! {
     no_runner_is_chosen_from_none: at 1_000 [] => None;
-    the_runner_with_most_free_slots_is_chosen: at 1_000 [view(1, 0), view(5, 0), view(2, 0)] => Some(1);
+    most_free_slots_are_preferred: at 1_000 [view(1, 0), view(5, 0), view(2, 0)] => Some(1);
     full_runners_are_not_chosen: at 1_000 [view(0, 3), view(0, 0)] => None;
     a_full_runner_is_not_chosen_when_its_report_is_old: at 9_000 [view(0, 3), view(0, 0)] => None;
     an_own_runner_is_preferred: at 1_000 [view(5, 0), own_view(1)] => Some(1);
