--- a/src/core/admission/admission.rs
+++ b/src/core/admission/admission.rs
@@ -7,44 +7,42 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Share of the time a job can wait that its expected wait may take.
+/// Fraction of a job's time before its deadline that the expected wait may take.
 ///
-/// What is admitted late is run for nothing: the rest is room for waits and run times that turn
-/// out longer than learnt. Slots stay busy with a far shorter queue.
+/// The rest is a margin for waits and run times that are longer than estimated.
 const MAX_WAIT_FRACTION: f64 = 0.5;
-/// Most tasks that wait at one home.
+/// Maximum number of tasks that wait at one home.
 const MAX_WAITING_TASKS: usize = 50_000;
-/// Shortest time after which a refused client is asked to come back, in milliseconds.
+/// Shortest time after which a rejected client is asked to retry, in milliseconds.
 const MIN_RETRY_AFTER_MS: f64 = 100.0;
-/// Longest time after which a refused client is asked to come back, in milliseconds.
+/// Longest time after which a rejected client is asked to retry, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 30_000.0;
-/// The time to come back is drawn from this much around the reckoned one, so that refused clients
-/// don't come back together.
+/// Range of the factor applied to the retry time, so that rejected clients don't retry together.
 const JITTER_FACTORS: (f64, f64) = (0.75, 1.25);
 
-/// A job as admission sees it.
+/// Input of the admission decision.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AdmissionRequest {
-    /// Tasks that wait already.
+    /// Tasks already waiting.
     pub(crate) waiting: usize,
-    /// For how long the oldest of them has waited.
+    /// Time that the oldest of them has waited.
     pub(crate) oldest_wait_ms: u64,
-    /// Tasks of the job.
+    /// Number of tasks in the job.
     pub(crate) tasks: usize,
-    /// Time until its deadline.
+    /// Time until the job's deadline.
     pub(crate) deadline_ms: u64,
-    /// Time that one of its tasks is expected to run.
+    /// Expected run time of one of its tasks.
     pub(crate) run_ms: u64,
 }
 
-/// A refusal: the job would not be done in time.
+/// Rejection of a job that is expected to miss its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Overload {
-    /// When the queue is expected to be short enough, jittered.
+    /// Time after which the queue is expected to be short enough, with jitter.
     pub(crate) retry_after_ms: u64,
 }
 
-/// Takes in jobs that can be done in time, refuses the others at once.
+/// Admits jobs that are expected to meet their deadlines and rejects the others at once.
 #[derive(Debug)]
 pub(crate) struct Admission {
     drain_rate: DrainRate,
@@ -52,7 +50,7 @@
 }
 
 impl Admission {
-    /// Knows nothing yet and so admits everything; draws from this seed.
+    /// Creates an admission control without data, which only limits the queue's length.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             drain_rate: DrainRate::default(),
@@ -60,12 +58,12 @@
         }
     }
 
-    /// Notes what was started since the last note, and whether tasks wait now.
+    /// Records the starts since the last call, and whether tasks wait now.
     pub(crate) fn record_starts(&mut self, now: Instant, starts: usize, waiting: bool) {
         self.drain_rate.record_starts(now, starts, waiting);
     }
 
-    /// Decides on a job.
+    /// Admits or rejects a job.
     pub(crate) fn decide(&mut self, request: AdmissionRequest) -> Result<(), Overload> {
         if request.waiting == 0 {
             return Ok(());
@@ -77,7 +75,7 @@
             return Err(self.overload(MIN_RETRY_AFTER_MS));
         };
         let queued_tasks = (request.waiting + request.tasks) as f64;
-        // Those in front have waited already: a rate that looks better is out of date.
+        // A rate that predicts less than the wait so far is out of date.
         let expected_wait_ms = (queued_tasks / per_s * 1_000.0).max(request.oldest_wait_ms as f64);
         let max_wait_ms =
             request.deadline_ms.saturating_sub(request.run_ms) as f64 * MAX_WAIT_FRACTION;
--- a/src/core/admission/drain_rate.rs
+++ b/src/core/admission/drain_rate.rs
@@ -1,24 +1,22 @@
-//! How fast a home's queue drains.
+//! Estimates how fast a home's queue drains.
 
 use crate::core::time::Instant;
 
-/// Time over which the rate is learnt, in microseconds: older starts fade.
+/// Time constant of the exponential decay, in microseconds.
 const DECAY_TIME_US: f64 = 4_000_000.0;
-/// Time with a queue before the rate says anything, in microseconds.
+/// Minimum time with a queue for an estimate, in microseconds.
 const MIN_QUEUED_US: f64 = 200_000.0;
 
-/// Starts before the rate says anything, unless there were few in a long time.
+/// Minimum number of starts for an estimate, unless `MIN_QUEUED_FEW_STARTS_US` has passed.
 ///
-/// Guards against refusing everything when slots have just been filled with long tasks: for as
-/// long as these run nothing starts, and the rate looks like zero.
+/// When long tasks have just filled all slots, few starts say nothing about the rate.
 const MIN_STARTS: f64 = 5.0;
-/// Time with a queue after which few starts do say something, in microseconds.
+/// Time with a queue after which any number of starts gives an estimate, in microseconds.
 const MIN_QUEUED_FEW_STARTS_US: f64 = 3_500_000.0;
 
-/// Starts for each second in which tasks waited.
+/// Starts per second while tasks wait.
 ///
-/// Time without a queue doesn't count: what starts then says how fast work comes, not how fast it
-/// could go.
+/// Time without a queue is excluded, because the starts then follow the arrival rate.
 #[derive(Debug, Default)]
 pub(crate) struct DrainRate {
     starts: f64,
@@ -27,7 +25,7 @@
 }
 
 impl DrainRate {
-    /// Notes whether tasks wait from now on, and how many were started since the last note.
+    /// Records the starts since the last call, and whether tasks wait from now on.
     pub(crate) fn record_starts(&mut self, now: Instant, starts: usize, waiting: bool) {
         if let Some(since) = self.queued_since {
             let elapsed_us = now.micros_since(since) as f64;
@@ -38,7 +36,7 @@
         self.queued_since = waiting.then_some(now);
     }
 
-    /// Starts a second, once there has been a queue for long enough to tell.
+    /// Estimated starts per second, or `None` without enough data.
     pub(crate) fn per_s(&self) -> Option<f64> {
         let has_enough_data = self.queued_us >= MIN_QUEUED_FEW_STARTS_US
             || (self.queued_us >= MIN_QUEUED_US && self.starts >= MIN_STARTS);
--- a/src/core/admission/fits.rs
+++ b/src/core/admission/fits.rs
@@ -1,14 +1,13 @@
-//! Whether a job could ever run.
+//! Checks jobs against the resources of the configured workers.
 
 use crate::core::{
     config::Document,
     job::{JobSpec, TaskSpec},
 };
 
-/// Whether each task fits on some worker of the configuration that the service may run on.
+/// Whether each task fits on some configured worker in the service's availability zones.
 ///
-/// The worker may be out of service or still on its way: then the task waits. A task that fits
-/// nowhere would wait until its deadline for nothing.
+/// Workers that are currently unavailable count too, because a task can wait for them.
 pub(crate) fn fits_somewhere(document: &Document, spec: &JobSpec) -> bool {
     let Some(service) = document.services.get(&spec.service) else {
         return false;
--- a/src/core/admission/mod.rs
+++ b/src/core/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a home takes a job in, by the wait that it has learnt to expect.
+//! Admission control of a home: rejects jobs that are expected to miss their deadlines.
 
 mod admission;
 mod drain_rate;
--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the admission decision, and of the drain rate against a naive version.
+//! Tests of the admission decision, and of the drain rate against a naive implementation.
 
 use {
     super::{Admission, AdmissionRequest, DrainRate, Overload},
@@ -6,7 +6,7 @@
     proptest::prelude::{any, prop_assert, proptest},
 };
 
-/// An admission that has seen 100 starts a second while tasks waited.
+/// An admission control with 100 recorded starts per second while tasks waited.
 fn admission_at_100_per_s() -> Admission {
     let mut admission = Admission::new(3);
     for step in 0..200 {
@@ -46,8 +46,7 @@
     a_deadline_shorter_than_a_run_is_rejected: 1 waiting, 1 tasks, 100 ms => false;
 }
 
-/// A burst is refused; all clients come back when the queue is expected to have drained. Without
-/// jitter they would come back together.
+/// Without jitter, the clients rejected in a burst would all retry at the same time.
 #[test]
 fn retry_times_cover_the_excess_queue_and_are_jittered() {
     let mut admission = admission_at_100_per_s();
@@ -65,8 +64,7 @@
     assert!(times.len() > 40, "{times:?}");
 }
 
-/// A thousand jobs of long tasks come at once: slots fill, and then nothing starts for seconds.
-/// That is no reason to refuse the rest.
+/// Nothing starts while long tasks occupy all slots; that alone must not cause rejections.
 #[test]
 fn long_tasks_that_fill_all_slots_are_not_an_overload() {
     let mut admission = Admission::new(3);
@@ -76,7 +74,7 @@
     assert!(admission.decide(request(100, 1, 5_000)).is_ok());
 }
 
-/// The rate was learnt before a zone left; what waits has waited too long already.
+/// A rate recorded before a zone was evacuated must not hide that tasks already wait too long.
 #[test]
 fn the_oldest_wait_overrides_an_outdated_rate() {
     let request = AdmissionRequest {
@@ -98,7 +96,7 @@
         ..proptest::test_runner::Config::default()
     })]
 
-    /// The naive version sums over the whole history with each start's weight by its age.
+    /// The naive implementation sums the whole history, weighted by age.
     #[test]
     fn drain_rate_agrees_with_a_weighted_history(
         steps in proptest::collection::vec((1..200u64, 0..5usize, any::<bool>()), 1..80)
--- a/src/core/demand/demand_queue.rs
+++ b/src/core/demand/demand_queue.rs
@@ -1,14 +1,14 @@
-//! The demands of homes at one runner, and the slots held for them.
+//! The demands of homes at a runner, and the slots held for them.
 
 use {
     crate::core::{ticket::AgentId, time::Instant},
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// For how long an offered slot is held for its home, in milliseconds.
+/// Time for which a slot is held for a home, in milliseconds.
 ///
-/// Guards against homes that die or fall silent with an offer under way: the slot would stay
-/// empty for good. A start that comes later is taken like any other.
+/// The expiry frees slots of homes that die or disconnect. A start that arrives later is handled
+/// like one without a hold.
 const HOLD_MS: u64 = 100;
 
 #[derive(Debug, Clone, Copy)]
@@ -23,7 +23,7 @@
     until: Instant,
 }
 
-/// Who waits for a slot here, longest wait first.
+/// Homes that wait for a slot, longest wait first.
 #[derive(Debug, Default)]
 pub(crate) struct DemandQueue {
     demands: BTreeMap<AgentId, Demand>,
@@ -33,7 +33,7 @@
 }
 
 impl DemandQueue {
-    /// Sets how many tasks a home waits with, the longest since `since`.
+    /// Sets how many tasks of a home wait, the oldest since `since`.
     pub(crate) fn set_demand(&mut self, home: AgentId, since: Instant, tasks: u16) {
         self.remove_demand(home);
         if tasks > 0 {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Drops all demands of a home and the slots held for it.
+    /// Removes a home's demand and the slots held for it.
     pub(crate) fn remove_home(&mut self, home: AgentId) {
         self.remove_demand(home);
         if let Some(hold) = self.holds.remove(&home) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Holds one slot for the home that has waited longest, and names it.
+    /// Holds one slot for the home that has waited longest and returns that home.
     pub(crate) fn hold_slot(&mut self, now: Instant) -> Option<AgentId> {
         let (since, home) = *self.by_wait.first()?;
         let demand = self.demands.get_mut(&home)?;
@@ -75,7 +75,7 @@
         Some(home)
     }
 
-    /// Takes one slot held for a home; false if none is.
+    /// Releases one slot held for a home as a task starts; false if none is held.
     pub(crate) fn consume_hold(&mut self, home: AgentId) -> bool {
         let Some(hold) = self.holds.get_mut(&home) else {
             return false;
@@ -88,7 +88,7 @@
         true
     }
 
-    /// Gives back slots whose homes did not use them in time.
+    /// Releases held slots whose time has expired.
     pub(crate) fn expire_holds(&mut self, now: Instant) {
         let held = &mut self.held;
         self.holds.retain(|_, hold| {
--- a/src/core/demand/mod.rs
+++ b/src/core/demand/mod.rs
@@ -1,4 +1,4 @@
-//! Homes that wait for a slot of one runner.
+//! Demands of homes for slots of a runner.
 
 mod demand_queue;
 
--- a/src/core/demand/tests.rs
+++ b/src/core/demand/tests.rs
@@ -1,4 +1,4 @@
-//! The demand queue against a naive version: a plain list that is scanned.
+//! Compares the demand queue with a naive list that is scanned.
 
 use {
     super::DemandQueue,
@@ -25,7 +25,7 @@
     },
 }
 
-/// Homes with (since, tasks), and one entry for each held slot with its end.
+/// Demands as (since, home, tasks); one (home, expiry) per held slot.
 #[derive(Debug, Default)]
 struct NaiveQueue {
     demands: Vec<(Instant, u64, u16)>,
--- a/src/core/ejection/ejection_reason.rs
+++ b/src/core/ejection/ejection_reason.rs
@@ -1,13 +1,13 @@
-//! Reasons for which a runner is left alone.
+//! Reasons for ejecting a runner.
 
 use crate::core::verdict::reasons;
 
 reasons! {
-    /// Why a runner is left alone for a while.
+    /// Why a runner was ejected.
     EjectionReason {
-        /// Its tasks failed, one after the other.
+        /// Several consecutive tasks failed.
         Failing => "failing",
-        /// Its tasks took longer than most take elsewhere, one after the other.
+        /// Several consecutive tasks took much longer than on other runners.
         Slow => "slow",
     }
 }
--- a/src/core/ejection/mod.rs
+++ b/src/core/ejection/mod.rs
@@ -1,4 +1,4 @@
-//! Runners that are left alone because of what became of the tasks that they were given.
+//! Outlier ejection: takes runners out of placement by the results of their tasks.
 
 mod ejection_reason;
 mod runner_health;
--- a/src/core/ejection/runner_health.rs
+++ b/src/core/ejection/runner_health.rs
@@ -1,45 +1,45 @@
-//! What the ends of its tasks say about one runner.
+//! Health of one runner, derived from the results of its tasks.
 
 use {super::EjectionReason, crate::core::time::Instant};
 
-/// Failures in a row after which a runner is left alone.
+/// Consecutive failures after which a runner is ejected.
 const FAILURE_THRESHOLD: u8 = 3;
-/// Slow tasks in a row after which a runner is left alone.
+/// Consecutive slow tasks after which a runner is ejected.
 ///
-/// One task in a hundred is that slow elsewhere, so a sound runner is left alone once in a million.
+/// About one task in a hundred is slow on a healthy runner, so false ejections are rare.
 const SLOW_TASK_THRESHOLD: u8 = 3;
-/// Good ends in a row by which a runner on probation is trusted again.
+/// Consecutive successes after which a runner on probation returns to service.
 const PROBATION_SUCCESSES: u8 = 3;
-/// First time for which a runner is left alone; doubled each time, in milliseconds.
+/// Duration of the first ejection, in milliseconds; doubles with each further one.
 const INITIAL_EJECTION_MS: u64 = 1_000;
-/// Doublings at most.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u8 = 5;
 
-/// How one task ended, as far as it says something about its runner.
+/// The result of one task as a sample of its runner's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthSample {
-    /// Done in a usual time.
+    /// Finished in a usual time.
     Success,
-    /// Done, and well beyond what nine in ten tasks of the service take.
+    /// Ran much longer than nine in ten tasks of the service.
     Slow,
-    /// Failed, lost or refused by the backend server.
+    /// Failed, lost or rejected by the backend server.
     Failed,
 }
 
-/// How far a runner is trusted.
+/// Whether a runner receives tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum EjectionState {
-    /// Like any other.
+    /// Receives tasks without limits.
     #[default]
     InService,
-    /// Given nothing before that time, then one task at a time.
+    /// Ejected until `from`, then limited to one task at a time.
     Probation { from: Instant, successes: u8 },
 }
 
-/// The record of one runner.
+/// Tracks the task results of one runner and decides on its ejection.
 ///
-/// Guards against a worker that fails whatever it starts, at once: it always has the most free
-/// slots, and without this record it would attract the load and fail all of it.
+/// A runner whose tasks fail at once always has the most free slots. Without ejection it would
+/// attract most of the load.
 #[derive(Debug, Default)]
 pub(crate) struct RunnerHealth {
     state: EjectionState,
@@ -49,7 +49,7 @@
 }
 
 impl RunnerHealth {
-    /// Takes in how a task ended there; a reason if that makes it one to be left alone.
+    /// Records a task's result; returns a reason if the runner is ejected because of it.
     pub(crate) fn record(&mut self, now: Instant, sample: HealthSample) -> Option<EjectionReason> {
         match sample {
             HealthSample::Success => {
@@ -65,7 +65,7 @@
             HealthSample::Failed => self.failures = self.failures.saturating_add(1),
         }
         let reason = self.reason()?;
-        // Tasks that it was given before may still end while it is left alone.
+        // Tasks sent before the ejection may still finish during it.
         if !self.is_ejected(now) {
             self.eject(now);
             return Some(reason);
@@ -73,7 +73,8 @@
         None
     }
 
-    /// On probation a single bad end is enough: slow tasks are counted on until a good end.
+    /// On probation a single failed or slow task is enough, because `slow_tasks` is reset only by a
+    /// success.
     fn reason(&self) -> Option<EjectionReason> {
         let on_probation = self.state != EjectionState::InService;
         if self.failures >= FAILURE_THRESHOLD || (on_probation && self.failures > 0) {
@@ -100,17 +101,17 @@
         }
     }
 
-    /// Whether nothing speaks against it: it is trusted, and its last task ended well.
+    /// Whether it is in service and has had no failed or slow task since its last success.
     pub(crate) fn is_healthy(&self) -> bool {
         self.state == EjectionState::InService && self.failures == 0 && self.slow_tasks == 0
     }
 
-    /// Whether it is given nothing at all now.
+    /// Whether it must not receive any task now.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         matches!(self.state, EjectionState::Probation { from, .. } if now < from)
     }
 
-    /// Most tasks that it is given at a time.
+    /// Maximum number of concurrent tasks.
     pub(crate) fn max_tasks(&self, now: Instant) -> u16 {
         match self.state {
             EjectionState::InService => u16::MAX,
--- a/src/core/ejection/tests.rs
+++ b/src/core/ejection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a runner is left alone and trusted again.
+//! Tests of ejection and probation.
 
 use {
     super::{
@@ -8,7 +8,7 @@
     crate::core::time::Instant,
 };
 
-/// Feeds ends, written `g`ood, `s`low and `f`ailed, 10 ms apart; what the last one led to.
+/// Records samples 10 ms apart (`g`: success, `s`: slow, `f`: failed); returns the last result.
 fn health_after(samples: &str) -> (RunnerHealth, Instant, Option<EjectionReason>) {
     let mut health = RunnerHealth::default();
     let mut now = Instant::from_millis(1_000);
@@ -44,8 +44,7 @@
     results_during_an_ejection_do_not_eject_again: "ffff" => None;
 }
 
-/// A worker fails everything it starts. It is left alone, then tried with one task, fails it, and
-/// is left alone for twice as long; mended, it is trusted after three good ends.
+/// A failure on probation must double the ejection; three successes must end the probation.
 #[test]
 fn an_ejected_runner_returns_to_service_through_probation() {
     let (mut health, now, _) = health_after("fff");
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -1,4 +1,4 @@
-//! The zone gate: permits under which a runner may start tasks.
+//! The zone gate: time-limited permits under which runners start tasks.
 
 mod pending_change;
 mod permit;
--- a/src/core/gate/pending_change.rs
+++ b/src/core/gate/pending_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that may or may not have taken effect.
+//! Configuration changes whose outcome is unknown.
 
 use {
     super::ChangeOutcome,
@@ -6,12 +6,12 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Longest time for which a write that was given up may still take effect, in milliseconds.
+/// Time after which an abandoned write can no longer take effect, in milliseconds.
 ///
-/// An assumption on the platform: it drops a request that has waited this long.
+/// Assumes that the platform drops requests that have waited this long.
 const WRITE_LIFETIME_MS: u64 = 30_000;
 
-/// Names one change that this entry has begun.
+/// Identifies a change started by this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ChangeId(u64);
 
@@ -22,11 +22,10 @@
     ended_at: Option<Instant>,
 }
 
-/// This entry's changes whose outcome the head row has not shown yet.
+/// This entry's changes whose outcome no head read has resolved yet.
 ///
-/// Guards against an entry that writes a change, gets no reply, and says that nothing is
-/// changing: while the platform is down, all entries would go on granting permits in a zone
-/// that the lost write has closed. Until a reading settles the matter the zone counts as closed.
+/// A write without a reply may have closed a zone. Until the outcome is known the zone counts as
+/// closed, so that entries don't grant permits there while the platform is down.
 #[derive(Debug, Default)]
 pub(crate) struct PendingChanges {
     next_id: u64,
@@ -34,7 +33,7 @@
 }
 
 impl PendingChanges {
-    /// A change to `version` is about to be written.
+    /// Registers a change to `version` before it is written.
     pub(crate) fn begin(&mut self, version: u64, closing: BTreeSet<Closing>) -> ChangeId {
         self.next_id += 1;
         let id = ChangeId(self.next_id);
@@ -47,7 +46,7 @@
         id
     }
 
-    /// The write ended.
+    /// Records the outcome of the write.
     pub(crate) fn finish(&mut self, now: Instant, id: ChangeId, outcome: ChangeOutcome) {
         match outcome {
             ChangeOutcome::NotApplied => {
@@ -61,10 +60,11 @@
         }
     }
 
-    /// The head row, asked for at `requested_at`, had this version.
+    /// Drops the changes resolved by a head row of this version, requested at `requested_at`.
     ///
-    /// A version that is not lower settles a change either way, as its write needed the row to
-    /// be at the version before. A lower one settles it only when the write can't land any more.
+    /// A version that is not lower resolves a change either way, because its write requires the
+    /// row to be at the preceding version. A lower one resolves it only once the write has
+    /// expired.
     pub(crate) fn record_head_read(&mut self, requested_at: Instant, version: u64) {
         self.changes.retain(|_, change| {
             let is_decided = version >= change.version;
@@ -75,7 +75,7 @@
         });
     }
 
-    /// What may be closing.
+    /// Zones and workers that a pending change may close.
     pub(crate) fn closing(&self) -> BTreeSet<Closing> {
         self.changes
             .values()
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Whether a change may be closing this worker.
+    /// Whether a pending change may close this worker.
     pub(crate) fn may_close(&self, availability_zone: &str, worker: &str) -> bool {
         let mut closing = self.changes.values().flat_map(|change| &change.closing);
         closing.any(|closing| closing.covers(availability_zone, worker))
--- a/src/core/gate/permit.rs
+++ b/src/core/gate/permit.rs
@@ -1,13 +1,12 @@
-//! The runner's side of the zone gate.
+//! A runner's permit to start tasks.
 
 use crate::core::time::Instant;
 
-/// A runner's right to start tasks, good until a point on its own monotonic clock.
+/// A runner's permission to start tasks, which expires on its own monotonic clock.
 ///
-/// Guards against starts in an availability zone after operators took it out: a runner that is
-/// paused, cut off or told late holds no unexpired permit, and it checks just before the bytes
-/// go to the backend server. The permit counts from when the announcement was sent, so a reply
-/// that was under way for long grants no more than it should.
+/// A runner that is paused or disconnected can't start tasks in an evacuated zone, because its
+/// permit expires. The expiry is computed from when the announcement was sent, so a delayed
+/// reply doesn't extend the permit.
 #[derive(Debug)]
 pub(crate) struct Permit {
     expires_at: Instant,
@@ -15,7 +14,7 @@
 }
 
 impl Permit {
-    /// No permit yet.
+    /// An expired permit, for a runner that has received none.
     pub(crate) const fn unissued() -> Self {
         Self {
             expires_at: Instant::from_micros(0),
@@ -23,9 +22,9 @@
         }
     }
 
-    /// Takes in an entry's reply to the announcement sent at `sent_at`.
+    /// Applies an entry's reply to the announcement sent at `sent_at`.
     ///
-    /// Versions only grow: a reply from an entry that lags behind neither grants nor revokes.
+    /// Ignores replies with an older configuration version.
     pub(crate) fn renew(
         &mut self,
         sent_at: Instant,
@@ -49,12 +48,12 @@
         now < self.expires_at
     }
 
-    /// When the permit ends, for the check at the write.
+    /// When the permit expires.
     pub(crate) const fn expires_at(&self) -> Instant {
         self.expires_at
     }
 
-    /// The newest configuration version seen.
+    /// The newest configuration version received.
     pub(crate) const fn config_version(&self) -> u64 {
         self.config_version
     }
--- a/src/core/gate/shared_permit.rs
+++ b/src/core/gate/shared_permit.rs
@@ -1,22 +1,21 @@
-//! The permit as seen by whoever writes a task's bytes to the backend server.
+//! The permit's expiry, shared with the connections to the backend server.
 
 use {
     crate::core::time::Instant,
     std::sync::atomic::{AtomicU64, Ordering},
 };
 
-/// The end of the runner's permit, shared with the connections to the backend server.
+/// Expiry of the runner's permit, checked just before a request is written.
 ///
-/// Guards against a process that is frozen between taking a start and writing its bytes: it
-/// would start the task minutes later, in a zone that was taken out meanwhile. The write itself
-/// looks here, so what matters is the permit at that moment, revocations included.
+/// A process may be suspended between accepting a start and writing the request. Checking at the
+/// write applies any expiry or revocation that happened in between.
 #[derive(Debug, Default)]
 pub(crate) struct SharedPermit {
     expires_at_us: AtomicU64,
 }
 
 impl SharedPermit {
-    /// Takes in the end of the permit as it is now.
+    /// Replaces the expiry.
     pub(crate) fn set_expiry(&self, expires_at: Instant) {
         self.expires_at_us
             .store(expires_at.as_micros(), Ordering::Release);
--- a/src/core/gate/tests.rs
+++ b/src/core/gate/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the zone gate: the rule itself, and a model of entries, platform and faults.
+//! Tests of the zone gate, alone and in a simulation of entries, the platform and faults.
 
 mod interleavings;
 mod messages;
--- a/src/core/gate/tests/interleavings.rs
+++ b/src/core/gate/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Random and chosen interleavings of the model.
+//! Random interleavings and fixed scenarios of the simulation.
 
 use {
     super::{
@@ -12,7 +12,7 @@
     std::cell::Cell,
 };
 
-/// Runs the model over many cases; returns the grants seen, with and without the platform.
+/// Simulates random cases; returns the number of all grants and of those without the platform.
 fn run_cases(cases: u32, steps: impl Strategy<Value = Vec<Step>>) -> (usize, usize) {
     let config = ProptestConfig {
         cases,
@@ -39,13 +39,12 @@
     totals.get()
 }
 
-/// An operator takes a zone out and a task starts there long after. Any order of readings,
-/// digests, lost replies, outages, pauses, kills, removals and arrivals of entries may lead
-/// there; the cause would be an entry that grants permits on what is no longer so.
+/// An entry must not grant permits from an outdated configuration under any interleaving of head
+/// reads, digests, lost replies, outages, pauses, kills, removals and joins.
 #[test]
 fn no_permit_is_granted_two_seconds_after_a_closing_took_effect() {
     let (grants, without_platform) = run_cases(12_000, steps());
-    // The model must not pass because nobody ever grants anything.
+    // Ensures that the simulation grants permits at all.
     assert!(grants > 100_000, "{grants} grants");
     assert!(
         without_platform > 10_000,
@@ -53,8 +52,8 @@
     );
 }
 
-/// An entry is cut from the platform, its row is removed, a new one joins and closes the zone:
-/// the one cut off would keep it open, as it does not know whom to ask.
+/// An entry without the platform must not keep a zone open that a new entry closed after removing
+/// its row.
 #[test]
 fn no_late_permit_while_entries_join_and_are_removed() {
     let (grants, without_platform) = run_cases(60_000, membership_changes());
@@ -65,7 +64,7 @@
     );
 }
 
-/// Names each story and runs its steps on a model that begins with `entries` entries.
+/// Generates a test per scenario, which applies its steps to a simulation of `entries` entries.
 macro_rules! scenarios {
     ($($(#[$doc:meta])* $name:ident: $entries:literal [$($step:expr),+ $(,)?];)+) => {$(
         $(#[$doc])*
@@ -84,8 +83,8 @@
 const CLOSE: bool = false;
 
 scenarios! {
-    /// An entry is cut from the platform; its row is removed, a new entry does not know of it
-    /// and closes the zone. The one cut off must have lost its right before its row could go.
+    /// An entry without the platform must stop granting permits before its row can be removed by
+    /// an entry that then closes the zone without querying it.
     a_removed_entry_without_the_platform_grants_nothing: 1 [
         Step::Advance { ms: 5_500 },
         Step::Advance { ms: 1_500 },
@@ -95,8 +94,8 @@
         Step::ChangeNow { entry: 1, open: CLOSE },
         Step::Advance { ms: 2_500 },
     ];
-    /// An entry was frozen until its row was removed, with an operator's closing in hand. Nobody
-    /// asks it any more, so the closing must not take effect: the write checks the row.
+    /// An entry whose row was removed is no longer queried, so its pending closing must not take
+    /// effect: the write checks the row.
     a_removed_entry_cannot_change_the_configuration: 2 [
         Step::WriteRow { entry: 0, acknowledged: true },
         Step::Advance { ms: 6_500 },
@@ -107,8 +106,8 @@
         Step::SetPlatformDown { down: true },
         Step::Advance { ms: 2_500 },
     ];
-    /// A new entry registers and makes itself known while another one's scan, which missed it,
-    /// is under way; then it closes the zone and the platform goes down.
+    /// An entry announces itself while another one's scan that missed its row is in progress, and
+    /// then closes the zone just before a platform outage.
     an_entry_that_joins_during_a_scan_is_queried: 1 [
         Step::Advance { ms: 2_500 },
         Step::Poll { entry: 0 },
--- a/src/core/gate/tests/messages.rs
+++ b/src/core/gate/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What each message of the model does on its way.
+//! Delivery of the simulation's messages, one stage at a time.
 
 use {
     super::simulation::{Message, Simulation, WRITE_LIFETIME_MS},
@@ -34,7 +34,7 @@
                 return true;
             }
             let others = self.rows.keys().copied().filter(|row| *row != id).collect();
-            // The head is asked for once the scan has arrived.
+            // The head row is requested once the scan has arrived.
             *scan = Some((others, self.clock(entry)));
             return false;
         };
--- a/src/core/gate/tests/simulation.rs
+++ b/src/core/gate/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! Entries, their platform and every fault between them.
+//! A simulation of entries, the platform and faults, built on the production `ZoneGate`.
 //!
-//! Any pending message may go on, be lost or wait for long; entries are paused, killed, cut off,
-//! removed and added. The entries' rule is the shipped one.
+//! Messages may be delivered, delayed or dropped; entries may be paused, killed, partitioned,
+//! removed and added.
 
 use {
     super::steps::Step,
@@ -16,18 +16,18 @@
 };
 
 const ZONE: &str = "keflavik";
-/// Time after a closing from which no permit may be granted, in milliseconds.
+/// Latest time after a closing at which a permit may be granted, in milliseconds.
 const MAX_GRANT_DELAY_MS: u64 = 2_000;
 /// Time after which the platform drops a write, in milliseconds.
 pub(super) const WRITE_LIFETIME_MS: u64 = 30_000;
-/// Time after the last write of a row from which others may remove it, in milliseconds.
+/// Time after a row's last write when other entries may remove it, in milliseconds.
 const OUTAGE_LIMIT_MS: u64 = 6_000;
 
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) id: AgentId,
     pub(super) gate: ZoneGate,
-    /// Clocks of different processes have nothing to do with each other.
+    /// Monotonic clocks of different processes are unrelated.
     clock_offset_ms: u64,
     paused: bool,
     partitioned: bool,
@@ -59,14 +59,14 @@
     },
 }
 
-/// Entries, their platform and the messages under way.
+/// Entries, the platform and messages in flight.
 #[derive(Debug, Default)]
 pub(super) struct Simulation {
     pub(super) now_ms: u64,
     pub(super) platform_down: bool,
-    /// Rows of the roster with when each was last written.
+    /// Roster rows with the time of their last write.
     pub(super) rows: BTreeMap<AgentId, u64>,
-    /// Whether the zone is open, by version; the platform's head is the last one.
+    /// Whether the zone is open, by version; the last version is the platform's head.
     pub(super) versions: BTreeMap<u64, bool>,
     pub(super) closed_at_ms: Option<u64>,
     pub(super) entries: Vec<Entry>,
@@ -104,7 +104,7 @@
         !self.platform_down && self.entries[entry].alive && !self.entries[entry].partitioned
     }
 
-    /// A new process: its row is there before it says a word.
+    /// Starts an entry, whose row exists before it sends any message.
     fn join(&mut self) {
         let number = self.entries.len() as u64 + 1;
         if self.platform_down || number > 6 {
@@ -161,7 +161,7 @@
 
     fn query(&mut self, from: usize, to: usize) {
         let known = self.entries.get(from).zip(self.entries.get(to)).is_some();
-        // An entry speaks to others once it has seen its own row, as the digest loop does.
+        // Like the digest loop, an entry queries others only after it has read the roster.
         if from == to || !known || !self.is_running(from) || !self.has_read_roster(from) {
             return;
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Loses a message; a change's write may be under way all the same.
+    /// Drops a message; a change's write may still take effect.
     fn drop_message(&mut self, position: usize) {
         let clocks: Vec<_> = (0..self.entries.len())
             .map(|entry| self.clock(entry))
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Carries the last message as far as it goes.
+    /// Delivers the message at `position` through all its stages.
     fn complete(&mut self, position: usize) {
         for _ in 0..4 {
             if self.messages.len() > position {
@@ -312,7 +312,7 @@
             Step::RemoveRow { .. } if !self.platform_down => {
                 let now_ms = self.now_ms;
                 let id = target.id;
-                // A dead process's successor at the same address removes the row at once.
+                // A process restarted at the same address removes the dead one's row at once.
                 let alive = target.alive;
                 self.rows.retain(|row, written_ms| {
                     *row != id || (alive && now_ms - *written_ms < OUTAGE_LIMIT_MS)
@@ -322,7 +322,7 @@
         }
     }
 
-    /// No entry may grant a permit in the zone long after it was closed.
+    /// Fails if an entry grants a permit in the zone too long after its closing.
     pub(super) fn check(&mut self) -> Result<(), TestCaseError> {
         for entry in 0..self.entries.len() {
             if !self.is_running(entry) {
--- a/src/core/gate/tests/steps.rs
+++ b/src/core/gate/tests/steps.rs
@@ -1,9 +1,9 @@
-//! What can happen, one step at a time.
+//! Steps of the simulation and strategies that generate them.
 
 use proptest::prelude::*;
 
-/// One thing that happens. Messages are split where something can come between: a reading into
-/// scan and head, a change into its write and its reply, a digest into question, answer, arrival.
+/// One event of the simulation. Messages progress in stages so that events can interleave: a poll
+/// has scan and head, a change has write and reply, a query has request, response and arrival.
 #[derive(Debug, Clone)]
 pub(super) enum Step {
     Advance {
@@ -44,26 +44,26 @@
     RemoveRow {
         entry: usize,
     },
-    /// Its row is written again; `answered` if the reply arrives.
+    /// The entry rewrites its row; `acknowledged` if the reply arrives.
     WriteRow {
         entry: usize,
         acknowledged: bool,
     },
-    /// A reading without delay.
+    /// A poll without delay.
     PollNow {
         entry: usize,
     },
-    /// A question and its answer without delay.
+    /// A query and its reply without delay.
     QueryNow {
         from: usize,
         to: usize,
     },
-    /// A change that takes effect without delay; its writer may be gone right after.
+    /// A change whose write takes effect without delay; its reply is still pending.
     ChangeNow {
         entry: usize,
         open: bool,
     },
-    /// Everybody reads the platform and asks everybody, without delay.
+    /// Every entry polls the platform and queries all others, without delay.
     Synchronize,
 }
 
@@ -94,7 +94,7 @@
     prop::collection::vec(step, 1..100)
 }
 
-/// Steps without delays between them, for stories in which entries come, go and are cut off.
+/// Steps without message delays in which entries join, are removed and are partitioned.
 pub(super) fn membership_changes() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         5 => (500_u64..4_000).prop_map(|ms| Step::Advance { ms }),
--- a/src/core/gate/tests/zone_gate.rs
+++ b/src/core/gate/tests/zone_gate.rs
@@ -1,4 +1,4 @@
-//! Single stories of the rule.
+//! Unit tests of the zone gate and the permit.
 
 use {
     crate::core::{
@@ -25,7 +25,7 @@
     }
 }
 
-/// An entry that has read version 1 and knows one other entry.
+/// A gate that has read version 1 and knows one other entry.
 fn gate() -> ZoneGate {
     let mut gate = ZoneGate::new(OUTAGE_LIMIT_MS);
     gate.record_row_written(at(900));
@@ -43,8 +43,7 @@
     assert!(gate.may_grant(at(1), ZONE, "w01"));
 }
 
-/// The platform is down for long and nobody changes anything: work must go on. It stops once
-/// another entry is silent, as that one may have written a closing before it died.
+/// Permits stop once another entry is unresponsive, as it may have written a closing.
 #[test]
 fn a_platform_outage_does_not_stop_permits_while_all_entries_respond() {
     let mut gate = gate();
@@ -58,8 +57,7 @@
     assert!(!gate.may_grant(at(61_001), ZONE, "w01"));
 }
 
-/// An entry is cut from the platform and from new entries, which remove its row and close a zone
-/// without asking it. Its own right must have ended before the row could be removed.
+/// New entries that removed the row would close a zone without querying this entry.
 #[test]
 fn permits_without_the_platform_end_before_the_row_may_be_removed() {
     let mut gate = gate();
@@ -70,8 +68,7 @@
     assert!(gate.may_grant(at(120_901), ZONE, "w01"));
 }
 
-/// An entry is cut from the platform alone, while another reads it: the other's word for how
-/// old its reading is keeps this one's workers going, and not for longer than an own reading.
+/// A head read by another entry must not count for longer than one made here.
 #[test]
 fn another_entrys_recent_head_read_counts_with_its_age() {
     let mut gate = gate();
@@ -83,8 +80,7 @@
     assert!(!gate.may_grant(at(11_500), ZONE, "w01"));
 }
 
-/// A closing's reply is lost in an outage. The zone counts as closed at its writer and at all
-/// others at once; the other zones go on.
+/// A closing whose reply is lost must close its zone, and no other one.
 #[test]
 fn a_closing_of_unknown_outcome_counts_until_the_head_is_read() {
     let mut gate = gate();
@@ -124,7 +120,7 @@
     assert!(gate.may_grant(at(10_501), "grindavik", "w01"));
 }
 
-/// A new entry writes a change before the others know of it, and dies: they would not miss it.
+/// Other entries would not query an unknown entry about the changes that it wrote.
 #[test]
 fn an_entry_is_known_to_all_only_when_each_has_replied() {
     let mut gate = gate();
@@ -135,8 +131,7 @@
     assert!(!gate.is_known_to_all());
 }
 
-/// A scan of the roster is under way when a new entry registers and makes itself known. It must
-/// not be forgotten when the scan, which missed its row, arrives: it may write from then on.
+/// A scan that started before an entry registered may have missed its row and must not remove it.
 #[test]
 fn an_entry_announced_during_a_scan_stays_a_member() {
     let mut gate = gate();
@@ -148,8 +143,7 @@
     assert!(gate.may_grant(at(10_200), ZONE, "w01"));
 }
 
-/// A reply that was under way for long arrives after a process was frozen: the permit counts
-/// from when the announcement was sent, and a lower version grants nothing.
+/// Neither a delayed reply nor one with an older version may extend a permit.
 #[test]
 fn a_permit_is_measured_from_the_announcement_and_ignores_older_versions() {
     let mut permit = Permit::unissued();
--- a/src/core/placement/home_choice.rs
+++ b/src/core/placement/home_choice.rs
@@ -1,4 +1,4 @@
-//! Which home the next new job is given to.
+//! Chooses a home for each new job.
 
 use {
     super::active_homes,
@@ -6,14 +6,14 @@
     rand::{RngExt, seq::IndexedRandom},
 };
 
-/// For how long the homes are not looked through anew, in milliseconds.
+/// Minimum time between refreshes of the list of homes, in milliseconds.
 const REFRESH_INTERVAL_MS: u64 = 50;
 
-/// The homes that new jobs are given to, with those that step in when all of them fail.
+/// The active homes for new jobs, and standby homes that replace them when all of them fail.
 ///
-/// Looking through all agents that could be homes and ranking them cost more for each ticket the
-/// more there are; so it is done after [`REFRESH_INTERVAL_MS`] only, or when no home is left to try. A home
-/// that leaves or fails in between is found when it is tried.
+/// Ranking all agents is too expensive for each ticket, so the list is refreshed only every
+/// [`REFRESH_INTERVAL_MS`] or when no home is left. A home that leaves or fails in between is
+/// dropped when it is tried.
 #[derive(Debug, Default)]
 pub(crate) struct HomeChoice {
     refreshed_at: Option<Instant>,
@@ -22,13 +22,13 @@
 }
 
 impl HomeChoice {
-    /// Whether the homes are to be looked through anew.
+    /// Whether the list of homes needs a refresh.
     pub(crate) fn is_stale(&self, now: Instant) -> bool {
         self.refreshed_at
             .is_none_or(|refreshed_at| now.millis_since(refreshed_at) >= REFRESH_INTERVAL_MS)
     }
 
-    /// Takes in all agents that could be homes.
+    /// Replaces the list with all agents that can be homes.
     pub(crate) fn refresh(&mut self, now: Instant, homes: Vec<AgentId>) {
         self.refreshed_at = Some(now);
         self.active = active_homes(homes.clone());
@@ -36,7 +36,7 @@
         self.standby.retain(|home| !self.active.contains(home));
     }
 
-    /// Tries homes in an order of chance until one gives something; those that don't are dropped.
+    /// Tries homes in random order until `try_home` returns a value; drops those where it doesn't.
     pub(crate) fn pick<T>(
         &mut self,
         rng: &mut impl RngExt,
--- a/src/core/placement/mod.rs
+++ b/src/core/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which runner gets the next task.
+//! Placement: the home of a job, its candidate runners and the runner of each task.
 
 mod home_choice;
 mod home_share;
--- a/src/core/placement/most_free.rs
+++ b/src/core/placement/most_free.rs
@@ -1,4 +1,4 @@
-//! Places each task where most slots are free.
+//! Places each task on the runner with the most free slots.
 
 use {
     super::{Placement, RunnerView},
@@ -7,16 +7,16 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Takes the runner with most free slots, ties broken at random so that homes don't agree on one.
+/// Chooses the runner with the most free slots; breaks ties at random to spread homes over runners.
 ///
-/// Own runners come first: what is free there is known best, and other homes look there last.
+/// Own runners are preferred: their free slots are known best, and other homes use them last.
 #[derive(Debug)]
 pub(crate) struct MostFree {
     rng: ChaCha8Rng,
 }
 
 impl MostFree {
-    /// A policy that draws from this seed.
+    /// Creates the policy with this random seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Greater is better.
+/// Sort key; the greatest is chosen.
 const fn preference(view: &RunnerView) -> (bool, u16) {
     (view.own, view.free_slots)
 }
--- a/src/core/placement/random_worker.rs
+++ b/src/core/placement/random_worker.rs
@@ -1,4 +1,4 @@
-//! The naive policy that measurements compare with.
+//! A random placement policy, as a baseline for measurements.
 
 use {
     super::{Placement, RunnerView},
@@ -7,14 +7,14 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Takes any runner, whatever its load.
+/// Chooses any runner, regardless of its load.
 #[derive(Debug)]
 pub(crate) struct RandomWorker {
     rng: ChaCha8Rng,
 }
 
 impl RandomWorker {
-    /// A policy that draws from this seed.
+    /// Creates the policy with this random seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
--- a/src/core/placement/runner_view.rs
+++ b/src/core/placement/runner_view.rs
@@ -1,16 +1,16 @@
-//! What a home knows of a runner when it places a task.
+//! A home's view of a runner, as input of placement.
 
 use crate::core::time::Instant;
 
 /// A runner as seen by one home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RunnerView {
-    /// This home looks to the runner first.
+    /// Whether the runner is in this home's own share.
     pub(crate) own: bool,
-    /// Slots that the runner last reported free, less what was started there since.
+    /// Free slots by the runner's last report, minus the tasks sent there since.
     pub(crate) free_slots: u16,
-    /// Tasks of this home that run there.
+    /// Tasks of this home that the runner has.
     pub(crate) outstanding: u16,
-    /// When the runner last reported.
+    /// When the runner's last report arrived.
     pub(crate) reported_at: Instant,
 }
--- a/src/core/placement/shortlist.rs
+++ b/src/core/placement/shortlist.rs
@@ -1,38 +1,34 @@
-//! Which few of many runners an entry names to a job's home.
+//! Selects the candidate runners that an entry sends to a job's home.
 
 use {
     super::home_share::{own_range, rank},
     crate::core::{message::Candidate, ticket::AgentId},
 };
 
-/// Runners named from the home's own share on, in the order of ranks.
+/// Number of consecutive runners listed in rank order, starting with the home's own share.
 const NEAR_RUNNERS: usize = 64;
-/// Runners with free slots named beyond those.
+/// Number of further runners with free slots listed after those.
 const FREE_RUNNERS: usize = 32;
 
-/// The homes of one service's jobs and the runners that could take their tasks.
+/// The active homes of a service and the runners that can run its tasks, both in rank order.
 #[derive(Debug)]
 pub(crate) struct RunnerRing {
-    /// Active homes, in the order of their ranks.
     homes: Vec<AgentId>,
-    /// In the order of their ranks.
     runners: Vec<Candidate>,
 }
 
 impl RunnerRing {
-    /// Puts the runners in their order; `homes` are the active ones.
+    /// Sorts the runners by rank; `homes` are the active ones, already sorted.
     pub(crate) fn new(homes: Vec<AgentId>, mut runners: Vec<Candidate>) -> Self {
         runners.sort_unstable_by_key(|candidate| rank(candidate.runner));
         Self { homes, runners }
     }
 
-    /// Names at most 96 runners, the same ones to the same home as long as they stay.
+    /// Lists at most `NEAR_RUNNERS + FREE_RUNNERS` runners for a home.
     ///
-    /// Guards against jobs that cost more the more workers there are: at 1,500 workers the whole
-    /// list is 29 KB for each job, and each home would hold a session with each runner. The near
-    /// ones hold a job of 200 tasks more than twice over; the free ones beyond them differ from
-    /// home to home, so that homes whose near ones are full don't all turn to the same runners. A
-    /// job that still waits after a second is told of those that are free then.
+    /// The limit bounds the size of the list and the number of sessions per home. Near runners
+    /// stay the same while the set of runners doesn't change. The free ones differ between homes,
+    /// so that homes with full near runners don't all use the same others.
     pub(crate) fn shortlist(&self, home: AgentId) -> Vec<Candidate> {
         let count = self.runners.len();
         let own = own_range(home, &self.homes, count);
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the placement policies.
+//! Tests of placement policies, the choice of homes and candidate lists.
 
 use {
     super::{HomeChoice, MostFree, Placement, RunnerRing, RunnerView, active_homes},
@@ -64,7 +64,7 @@
     assert_eq!(own_runners, (0..1_500).map(AgentId).collect::<Vec<_>>());
 }
 
-/// Runners 0 to `count`, of which each tenth is full.
+/// Runners from 0 to `count`, exclusive; every tenth is full.
 fn candidates(count: u64) -> Vec<Candidate> {
     (0..count)
         .map(|number| Candidate {
@@ -99,8 +99,8 @@
     assert!(choice.is_stale(Instant::from_millis(1_050)));
 }
 
-/// An active home dies and new jobs are still offered to it: the next one tried must be another,
-/// and when no active home is left, those in reserve step in before anybody is refused.
+/// A failed active home must not be tried again, and standby homes must replace the active ones
+/// before a job is rejected.
 #[test]
 fn failed_homes_are_skipped_and_standby_homes_replace_them() {
     let (mut choice, active) = choice_of(12);
@@ -114,7 +114,7 @@
     assert!(!active.contains(&picked));
     let none: Option<AgentId> = choice.pick(&mut rng, |_| None);
     assert_eq!(none, None);
-    assert_eq!(choice.pick(&mut rng, Some), None, "all were dropped");
+    assert_eq!(choice.pick(&mut rng, Some), None, "all homes were dropped");
 }
 
 macro_rules! shortlist_cases {
@@ -124,7 +124,7 @@
             fn $name() {
                 let ring = RunnerRing::new(Vec::new(), candidates($count));
                 let shortlist = ring.shortlist(AgentId(1));
-                assert_eq!(runner_ids(&shortlist).len(), shortlist.len(), "each once");
+                assert_eq!(runner_ids(&shortlist).len(), shortlist.len(), "no duplicates");
                 assert_eq!(shortlist.len(), $expected);
             }
         )+
--- a/src/core/run_times/mod.rs
+++ b/src/core/run_times/mod.rs
@@ -1,4 +1,4 @@
-//! How long tasks run, learnt for each service.
+//! Distributions of task run times, by service.
 
 mod run_times;
 
--- a/src/core/run_times/run_times.rs
+++ b/src/core/run_times/run_times.rs
@@ -1,17 +1,17 @@
-//! Learnt run times.
+//! Histograms of recent run times.
 
 use {hdrhistogram::Histogram, std::collections::BTreeMap};
 
-/// Longest run time told apart from longer ones, in milliseconds.
+/// Run times above this are recorded as this value, in milliseconds.
 const MAX_RUN_MS: u64 = 600_000;
-/// Digits that are kept of each run time.
+/// Significant decimal digits of a recorded run time.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Runs after which a distribution is set aside and a new one begun, so that old runs fade.
+/// Runs after which a new histogram replaces the current one, so that old runs stop counting.
 const RUNS_PER_WINDOW: u64 = 1_000;
-/// Runs before what was learnt replaces what clients declare.
+/// Runs needed before the histogram is used instead of the time declared by clients.
 const MIN_RUNS: u64 = 20;
 
-/// Run times of one service: those of late, and those before.
+/// Run times of one service, in the current and the previous window.
 #[derive(Debug)]
 struct ServiceTimes {
     current: Histogram<u32>,
@@ -29,7 +29,7 @@
 }
 
 impl RunTimes {
-    /// Takes in how long a task ran.
+    /// Records a task's run time.
     pub(crate) fn record(&mut self, service: &str, run_ms: u64) {
         if !self.services.contains_key(service) {
             let Some(current) = new_histogram() else {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The run time that this share of tasks stays below, if enough runs are known.
+    /// The run time at this quantile, if enough runs are recorded.
     pub(crate) fn quantile_ms(&self, service: &str, quantile: f64) -> Option<u64> {
         let times = self.services.get(service)?;
         if times.current.len() >= MIN_RUNS {
@@ -61,7 +61,7 @@
         Some(previous.value_at_quantile(quantile))
     }
 
-    /// How long a task is expected to run: the learnt median, or what is declared until then.
+    /// The median run time, or the declared one until enough runs are recorded.
     pub(crate) fn expected_ms(&self, service: &str, declared_ms: u64) -> u64 {
         self.quantile_ms(service, 0.5).unwrap_or(declared_ms)
     }
--- a/src/core/run_times/tests.rs
+++ b/src/core/run_times/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of learnt run times, against a sorted list.
+//! Tests of recorded run times, against a sorted list.
 
 use {
     super::RunTimes,
     proptest::prelude::{prop_assert, proptest},
 };
 
-/// Declared times are off by ten times; after a few runs they no longer count.
+/// A wrong declared time must not be used any longer than necessary.
 #[test]
 fn a_declared_time_is_used_only_until_enough_runs_are_recorded() {
     let mut times = RunTimes::default();
--- a/src/core/store_budget/mod.rs
+++ b/src/core/store_budget/mod.rs
@@ -1,4 +1,4 @@
-//! This entry's share of what the platform's store can take.
+//! Limits the rate of this entry's calls to the platform's store.
 
 mod store_budget;
 mod token_bucket;
--- a/src/core/store_budget/store_budget.rs
+++ b/src/core/store_budget/store_budget.rs
@@ -1,4 +1,4 @@
-//! Which calls to the platform's store may be made now.
+//! Rate limits and backoff for calls to the platform's store.
 
 use {
     super::token_bucket::TokenBucket,
@@ -7,57 +7,56 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Failures in a row after which calls are held back.
+/// Consecutive failures after which calls back off.
 const FAILURES_BEFORE_BACKOFF: u32 = 3;
-/// First pause after that, in milliseconds; it doubles with each further failure.
+/// First backoff, in milliseconds; doubles with each further failure.
 const INITIAL_BACKOFF_MS: u64 = 100;
-/// Longest pause, in milliseconds.
+/// Longest backoff, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 2_000;
-/// Part of its share that an entry keeps for urgent calls: a quarter.
+/// A bucket's rate divided by this is the number of tokens reserved for urgent calls.
 const URGENT_RESERVE_DIVISOR: u64 = 4;
 
-/// What all entries together may call, a second.
+/// Call rates allowed for all entries together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StoreRates {
-    /// Reads a second.
+    /// Reads per second.
     pub(crate) reads_per_s: u64,
-    /// Writes a second.
+    /// Writes per second.
     pub(crate) writes_per_s: u64,
 }
 
-/// What a call does.
+/// Whether a call reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallKind {
     Read,
     Write,
 }
 
-/// Whether a call may be put off.
+/// Whether a call may be delayed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// The roster, the head row, operators' changes. Few by nature, one at a time.
+    /// The roster, the head row and operators' changes: few calls, one at a time.
     Urgent,
-    /// Clients' keys: as many as clients send.
+    /// Clients' idempotency keys: as many calls as clients cause.
     Bulk,
 }
 
 reasons! {
-    /// Why a call is not made; nothing was sent.
+    /// Why a call was rejected before it was sent.
     BudgetRejection {
         /// This entry's share of reads is used up.
         Reads => "over_read_budget",
         /// This entry's share of writes is used up.
         Writes => "over_write_budget",
-        /// The store failed several times in a row and is left alone for a moment.
+        /// The store failed several times in a row, and calls back off.
         Pausing => "pausing",
     }
 }
 
-/// Keeps an entry's calls within its share, and pauses bulk calls while the store fails.
+/// Limits an entry's calls to its share of the rates; bulk calls back off while the store fails.
 ///
-/// Guards against a stampede: after an outage all entries have keys waiting, and the store, just
-/// back, would get them at once and fall over again. Each entry has its share of the rate, and
-/// pauses end at different times, as they are drawn at random.
+/// Rate limits and randomized backoff prevent a thundering herd of waiting calls when the store is
+/// available again after an outage.
 #[derive(Debug)]
 pub(crate) struct StoreBudget {
     rates: StoreRates,
@@ -69,7 +68,7 @@
 }
 
 impl StoreBudget {
-    /// The budget of an entry that shares with `entries - 1` others.
+    /// Creates the budget of one of `entries` entries.
     pub(crate) fn new(rates: StoreRates, entries: u64, seed: u64) -> Self {
         Self {
             rates,
@@ -81,14 +80,14 @@
         }
     }
 
-    /// Takes in how many entries there are, this one included.
+    /// Sets the number of entries, including this one.
     pub(crate) fn set_entry_count(&mut self, now: Instant, entries: u64) {
         let (reads, writes) = (self.rates.reads_per_s, self.rates.writes_per_s);
         self.reads.set_rate(now, share(reads, entries));
         self.writes.set_rate(now, share(writes, entries));
     }
 
-    /// Whether a call may be made now; if so, it is counted.
+    /// Checks whether a call may be made now, and counts it if so.
     pub(crate) fn admit(
         &mut self,
         now: Instant,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Takes in how a call went.
+    /// Records whether a call succeeded.
     pub(crate) fn record_result(&mut self, now: Instant, succeeded: bool) {
         if succeeded {
             self.failures = 0;
@@ -131,7 +130,7 @@
     }
 }
 
-/// An entry's share; at least one call a second, so that no entry is shut out.
+/// An entry's share, at least one call per second.
 fn share(per_s: u64, entries: u64) -> u64 {
     (per_s / entries.max(1)).max(1)
 }
--- a/src/core/store_budget/tests.rs
+++ b/src/core/store_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform budget.
+//! Tests of the store budget.
 
 use {
     super::{CallKind, StoreBudget, StoreRates, Urgency, store_budget::BudgetRejection},
@@ -24,8 +24,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is asked for and whenever, in any stretch of time an entry makes no more calls
-    /// than its share and one second's burst.
+    /// An entry must never make more calls than its share plus a burst of one second.
     #[test]
     fn an_entry_never_exceeds_its_share(
         intervals_us in prop::collection::vec(0_u64..20_000, 1..2_000),
@@ -44,8 +43,8 @@
     }
 }
 
-/// Clients send keys as fast as they can. The roster's beat and the head's reading must still get
-/// through, or the entry would lose its permits to its own clients.
+/// Clients' calls must not block roster writes and head reads, without which the entry can't grant
+/// permits.
 #[test]
 fn bulk_calls_cannot_use_the_urgent_reserve() {
     let mut budget = StoreBudget::new(RATES, 2, 1);
@@ -60,7 +59,7 @@
     assert!(budget.admit(at(0), CallKind::Read, Urgency::Urgent).is_ok());
 }
 
-/// The store is back after an outage. Entries that had paused must not come back together.
+/// Entries must not all call the store at the same time after an outage.
 #[test]
 fn backoff_grows_is_jittered_and_ends_with_a_success() {
     let ends: BTreeSet<u64> = (0..20)
@@ -71,7 +70,7 @@
             }
             (0..3_000)
                 .find(|ms| budget.admit(at(*ms), CallKind::Read, Urgency::Bulk).is_ok())
-                .expect("every pause ends")
+                .expect("every backoff ends")
         })
         .collect();
     assert!(ends.len() > 10, "{ends:?}");
--- a/src/core/store_budget/token_bucket.rs
+++ b/src/core/store_budget/token_bucket.rs
@@ -2,20 +2,19 @@
 
 use crate::core::time::Instant;
 
-/// Lets through a rate of calls, and a burst of up to one second's worth.
+/// Limits calls to a rate, with bursts of up to one second's worth.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     per_s: u64,
-    /// Tokens in millionths, so that a microsecond's worth at one call a second counts.
+    /// In millionths of a token: one call per second earns one per microsecond.
     micro_tokens: u64,
     refilled_at: Instant,
 }
 
-/// Millionths in a token.
 const MICRO_TOKENS_PER_TOKEN: u64 = 1_000_000;
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) const fn new(per_s: u64) -> Self {
         Self {
             per_s,
@@ -24,14 +23,14 @@
         }
     }
 
-    /// Changes the rate; what is in the bucket stays, up to the new burst.
+    /// Changes the rate; existing tokens stay, up to the new burst size.
     pub(super) fn set_rate(&mut self, now: Instant, per_s: u64) {
         self.refill(now);
         self.per_s = per_s;
         self.micro_tokens = self.micro_tokens.min(per_s * MICRO_TOKENS_PER_TOKEN);
     }
 
-    /// Takes a token if more than `reserved` are left.
+    /// Takes a token if at least `reserved` whole tokens remain afterwards.
     pub(super) fn try_take(&mut self, now: Instant, reserved: u64) -> bool {
         self.refill(now);
         if self.micro_tokens < (reserved + 1) * MICRO_TOKENS_PER_TOKEN {
@@ -41,7 +40,7 @@
         true
     }
 
-    /// Calls a second.
+    /// Calls per second.
     pub(super) const fn per_s(&self) -> u64 {
         self.per_s
     }
