--- a/src/core/ejection/runner_health.rs
+++ b/src/core/ejection/runner_health.rs
@@ -4,7 +4,7 @@
 
 /// Consecutive failures after which a runner is ejected.
 const FAILURE_THRESHOLD: u8 = 3;
-/// Consecutive slow tasks after which a runner is ejected.
+/// Slow tasks since the last success after which a runner is ejected.
 ///
 /// About one task in a hundred is slow on a healthy runner, so false ejections are rare.
 const SLOW_TASK_THRESHOLD: u8 = 3;
