--- a/src/core/home/intake.rs
+++ b/src/core/home/admission.rs
@@ -1,4 +1,4 @@
-//! What a home takes in: which runners there are, and whether a job would be done in time.
+//! Admission of jobs, and the run times and runner health that it learns from.
 
 use {
     super::{
@@ -6,7 +6,7 @@
         home::Timer,
         job_record::{JobRecord, JobState, RunningJob},
         runner_link::RunnerLink,
-        ticket_ring::{JobKey, TicketState},
+        ticket_registry::{JobKey, TicketState},
     },
     crate::core::{
         admission::{AdmissionRequest, Overload},
@@ -19,25 +19,25 @@
     },
 };
 
-/// Share of tasks that take less than what counts as usual; slow is half as much again.
-const USUAL_QUANTILE: f64 = 0.9;
-/// Least time beyond the usual that counts as slow, in milliseconds: less is noise of the host.
-const SLOW_LEAST_MS: u64 = 50;
-/// At most one in so many runners is left alone.
-const LEFT_ALONE_SHARE: usize = 3;
+/// Quantile of past run times used as the baseline; a run 50 % above it counts as slow.
+const BASELINE_QUANTILE: f64 = 0.9;
+/// Minimum excess over the baseline that counts as slow; smaller ones are host jitter.
+const MIN_SLOWDOWN_MS: u64 = 50;
+/// At most one in this many runners may be ejected at a time.
+const MIN_RUNNERS_PER_EJECTION: usize = 3;
 
-/// Why a job is not taken in.
+/// Why a job is rejected.
 #[derive(Debug)]
-pub(super) enum Turndown {
-    /// No worker of the configuration could ever hold one of its tasks.
+pub(super) enum RejectReason {
+    /// A task fits on no worker of the configuration.
     Impossible,
-    /// It would not be done in time.
+    /// The job would not finish before its deadline.
     Overload(Overload),
 }
 
 impl Home {
-    /// Takes in which runners an entry names.
-    pub(super) fn meet(&mut self, now: Instant, candidates: &[Candidate]) {
+    /// Adds or updates the links of the runners that an entry named as candidates.
+    pub(super) fn discover_runners(&mut self, now: Instant, candidates: &[Candidate]) {
         for candidate in candidates {
             let link = self
                 .links
@@ -45,12 +45,12 @@
                 .or_insert_with(|| RunnerLink::new(now, candidate));
             link.peer_addr = candidate.peer_addr;
             link.own = candidate.own;
-            link.want_session(now);
+            link.request_session(now);
         }
     }
 
-    /// Learns from the end of a task.
-    pub(super) fn learn(
+    /// Updates run times and runner health from the outcome of a run.
+    pub(super) fn record_run_result(
         &mut self,
         now: Instant,
         runner: AgentId,
@@ -64,65 +64,71 @@
         }) = self.jobs.get(key)
         {
             let service = &job.spec.service;
-            let usual_ms = self.run_times.quantile_ms(service, USUAL_QUANTILE);
-            let slow_ms = usual_ms.map(|usual_ms| usual_ms + (usual_ms / 2).max(SLOW_LEAST_MS));
-            let Some(end) = task_end(outcome, ran_ms, slow_ms) else {
+            let baseline_ms = self.run_times.quantile_ms(service, BASELINE_QUANTILE);
+            let slow_ms =
+                baseline_ms.map(|baseline_ms| baseline_ms + (baseline_ms / 2).max(MIN_SLOWDOWN_MS));
+            let Some(sample) = health_sample(outcome, ran_ms, slow_ms) else {
                 return;
             };
-            // Slow runners must not teach what is slow.
-            if end != HealthSample::Failed && self.is_trusted(now, runner) {
+            // Slow or ejected runners must not raise the baseline.
+            if sample != HealthSample::Failed && self.is_trusted(now, runner) {
                 self.run_times.record(service, ran_ms);
             }
-            self.note_end(now, runner, end);
+            self.record_health(now, runner, sample);
         }
     }
 
+    /// Whether the runner is neither ejected nor on probation.
     fn is_trusted(&self, now: Instant, runner: AgentId) -> bool {
         self.links
             .get(&runner)
             .is_some_and(|link| link.health.max_tasks(now) > 1)
     }
 
-    /// Leaves a runner alone whose tasks end badly, unless most others are left alone already:
-    /// then the tasks are at fault, or something that they share.
-    fn note_end(&mut self, now: Instant, runner: AgentId, end: HealthSample) {
-        let alone = self
+    /// Ejects a runner whose tasks fail or run slowly.
+    ///
+    /// At the limit of ejected runners, the tasks or a shared dependency are the more likely cause,
+    /// so no further runner is ejected.
+    fn record_health(&mut self, now: Instant, runner: AgentId, sample: HealthSample) {
+        let ejected = self
             .links
             .values()
             .filter(|link| link.health.is_ejected(now))
             .count();
-        let may_eject = (alone + 1) * LEFT_ALONE_SHARE <= self.links.len();
+        let may_eject = (ejected + 1) * MIN_RUNNERS_PER_EJECTION <= self.links.len();
         if let Some(link) = self.links.get_mut(&runner)
-            && (may_eject || end == HealthSample::Success)
-            && let Some(reason) = link.health.record(now, end)
+            && (may_eject || sample == HealthSample::Success)
+            && let Some(reason) = link.health.record(now, sample)
         {
             self.actions.push(HomeAction::CountEjection(reason));
         }
     }
 
-    /// Decides whether a new job is taken in.
-    pub(super) fn judge(
+    /// Decides whether a new job is admitted.
+    pub(super) fn decide_admission(
         &mut self,
         now: Instant,
         spec: &JobSpec,
         impossible: bool,
-    ) -> Result<(), Turndown> {
+    ) -> Result<(), RejectReason> {
         if impossible {
-            return Err(Turndown::Impossible);
+            return Err(RejectReason::Impossible);
         }
         let declared_ms = spec.tasks.iter().map(|task| task.declared_run_ms).min();
         let declared_ms = u64::from(declared_ms.unwrap_or(0));
-        let offer = AdmissionRequest {
-            waiting: self.waiting_count(),
+        let request = AdmissionRequest {
+            waiting: self.queued_task_count(),
             oldest_wait_ms: self.oldest_wait_ms(now),
             tasks: spec.tasks.len(),
             deadline_ms: spec.deadline_ms,
             run_ms: self.run_times.expected_ms(&spec.service, declared_ms),
         };
-        self.admission.decide(offer).map_err(Turndown::Overload)
+        self.admission
+            .decide(request)
+            .map_err(RejectReason::Overload)
     }
 
-    /// Begins a job under a ticket that was not used before.
+    /// Starts a job under an unused ticket.
     pub(super) fn start_job(
         &mut self,
         now: Instant,
@@ -139,22 +145,22 @@
             digest,
             state: JobState::Running(Box::new(job)),
         });
-        self.ring.record(&ticket.id, key);
+        self.tickets.record(&ticket.id, key);
         self.running += 1;
         self.timers.insert((deadline, Timer::Deadline(key)));
         self.waiting.push_back(key);
         key
     }
 
-    /// Ends a job that was not taken in.
+    /// Ends a job that was not admitted.
     ///
-    /// Guards against a copy of the submission that comes later, through another entry, when there
-    /// is room again: the client was told "not run" and may have sent the job under another
-    /// ticket. This ticket is used up, and so every copy is answered alike.
-    pub(super) fn end_refused(&mut self, key: JobKey, turndown: Turndown) {
-        let (reason, retry_after_ms) = match turndown {
-            Turndown::Impossible => (NotRunReason::ImpossibleTask, 0),
-            Turndown::Overload(overload) => (NotRunReason::Overloaded, overload.retry_after_ms),
+    /// The ticket stays used: a copy of the submission that arrives later through another entry
+    /// gets the same rejection, because the client may have resubmitted the job under another
+    /// ticket.
+    pub(super) fn reject_job(&mut self, key: JobKey, rejection: RejectReason) {
+        let (reason, retry_after_ms) = match rejection {
+            RejectReason::Impossible => (NotRunReason::ImpossibleTask, 0),
+            RejectReason::Overload(overload) => (NotRunReason::Overloaded, overload.retry_after_ms),
         };
         self.fail_job(
             key,
@@ -164,13 +170,12 @@
         );
     }
 
-    /// Lets a job that did not run be submitted again under its ticket.
+    /// Releases the ticket of a job that did not run, so that it can be submitted again.
     ///
-    /// Guards against a key that is refused for good: its client was told "not run" and when to
-    /// come back, and can only come back with the same key, which is bound to the same ticket.
-    /// Nothing of the job ran or is under way, so it may begin as if it were new.
-    pub(super) fn release_not_run(&mut self, ticket: &Ticket, spec: &JobSpec) {
-        let TicketState::Used(key) = self.ring.state(ticket) else {
+    /// A client with a key of its own can only retry with that key, which is bound to the same
+    /// ticket. No task of the job ran or is in flight, so the job may start as new.
+    pub(super) fn release_ticket_if_not_run(&mut self, ticket: &Ticket, spec: &JobSpec) {
+        let TicketState::Used(key) = self.tickets.state(ticket) else {
             return;
         };
         let Some(record) = self.jobs.get(key) else {
@@ -185,13 +190,13 @@
         if reason == NotRunReason::Cancelled || record.differs(&spec.digest()) {
             return;
         }
-        self.ring.release(&ticket.id);
+        self.tickets.release(&ticket.id);
         self.jobs.remove(key);
-        self.answers.forget(key);
+        self.answers.remove(key);
     }
 
-    /// Tasks that wait.
-    fn waiting_count(&self) -> usize {
+    /// Number of queued tasks of all jobs.
+    fn queued_task_count(&self) -> usize {
         self.waiting
             .iter()
             .filter_map(|key| self.running_job(*key))
@@ -199,7 +204,7 @@
             .sum()
     }
 
-    /// For how long the oldest job has waited.
+    /// How long the oldest job with queued tasks has waited.
     fn oldest_wait_ms(&self, now: Instant) -> u64 {
         let mut waiting = self.waiting.iter().filter_map(|key| self.running_job(*key));
         waiting
@@ -207,7 +212,7 @@
             .map_or(0, |job| now.millis_since(job.submitted_at))
     }
 
-    /// The job under this key, while it runs.
+    /// The job under this key if it is running.
     pub(super) fn running_job(&self, key: JobKey) -> Option<&RunningJob> {
         match self.jobs.get(key) {
             Some(JobRecord {
@@ -219,8 +224,8 @@
     }
 }
 
-/// What a task's end says about its runner, if it says anything.
-fn task_end(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
+/// What an outcome says about the health of its runner, if anything.
+fn health_sample(outcome: &TaskOutcome, ran_ms: u64, slow_ms: Option<u64>) -> Option<HealthSample> {
     match outcome {
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
             Some(HealthSample::Slow)
--- a/src/core/home/settle.rs
+++ b/src/core/home/outcomes.rs
@@ -1,11 +1,11 @@
-//! How tasks and jobs end at their home.
+//! Outcomes of tasks and jobs.
 
 use {
     super::{
         Home, HomeAction,
         home::Timer,
         job_record::{JobRecord, JobState, TaskState},
-        ticket_ring::JobKey,
+        ticket_registry::JobKey,
     },
     crate::core::{
         job::{JobAnswer, JobStatus, TaskOutcome, TaskRef},
@@ -16,17 +16,19 @@
     std::sync::Arc,
 };
 
-/// Starts of one task, but for those that met full slots, after which a home gives it up.
+/// Maximum number of attempts per task, not counting those refused for full slots.
 const MAX_ATTEMPTS: u8 = 8;
-/// Time after a job's first refusal from which on it may be given up: a permit's length, in which
-/// every runner that may start tasks at all has heard from an entry, in milliseconds.
-const NOT_TAKEN_AFTER_MS: u64 = 3_000;
-/// When to come back after no runner took a task, in milliseconds.
-const NOT_TAKEN_RETRY_AFTER_MS: u64 = 1_000;
+/// Minimum time after a job's first refusal before it may fail, in milliseconds.
+///
+/// This is the length of a permit: every runner that may start tasks has renewed its permit by
+/// then.
+const REFUSAL_TIMEOUT_MS: u64 = 3_000;
+/// Retry delay sent with a job that no runner accepted, in milliseconds.
+const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Home {
-    /// Takes in the end of one start of a task: retries it, ends it, or fails the job.
-    pub(super) fn settle_task(
+    /// Applies the outcome of one attempt: retries the task, ends it, or fails the job.
+    pub(super) fn apply_outcome(
         &mut self,
         now: Instant,
         key: JobKey,
@@ -46,7 +48,7 @@
                 reason: NotRunReason::SlotsFull,
             } => Some(NotRunReason::SlotsFull.as_str()),
             TaskOutcome::NotRun { reason }
-                if attempts < MAX_ATTEMPTS || !job.refused_for(now, NOT_TAKEN_AFTER_MS) =>
+                if attempts < MAX_ATTEMPTS || !job.refused_for(now, REFUSAL_TIMEOUT_MS) =>
             {
                 Some(reason.as_str())
             }
@@ -60,7 +62,7 @@
         if let Some(reason) = retry {
             let was_queued = !job.queued.is_empty();
             if reason == NotRunReason::SlotsFull.as_str() {
-                // Full slots say nothing of the task: that try doesn't count.
+                // Full slots are no property of the task, so the attempt doesn't count.
                 job.attempts[usize::from(index)] = attempts.saturating_sub(1);
             } else {
                 job.refused_since.get_or_insert(now);
@@ -74,21 +76,21 @@
         }
         let failed = !matches!(outcome, TaskOutcome::Done { .. });
         let retry_after_ms = match outcome {
-            TaskOutcome::NotRun { .. } => NOT_TAKEN_RETRY_AFTER_MS,
+            TaskOutcome::NotRun { .. } => REFUSED_RETRY_AFTER_MS,
             _ => 0,
         };
         if !job.end_task(index, outcome) {
             return;
         }
         if failed {
-            let reasons = (NotRunReason::JobFailed, MayHaveRunReason::JobFailed);
-            self.fail_job(key, reasons.0, reasons.1, retry_after_ms);
+            let fail_reasons = (NotRunReason::JobFailed, MayHaveRunReason::JobFailed);
+            self.fail_job(key, fail_reasons.0, fail_reasons.1, retry_after_ms);
         } else if job.is_complete() {
             self.end_job(key, Verdict::Done);
         }
     }
 
-    /// Ends a job before all its tasks are done, with the truth for each task.
+    /// Ends a job before all its tasks are done, and cancels the tasks that were started.
     pub(super) fn fail_job(
         &mut self,
         key: JobKey,
@@ -145,16 +147,16 @@
         for waiter in waiters {
             self.reply(waiter, JobStatus::Ended(Arc::clone(&answer)));
         }
-        self.actions.push(HomeAction::CountEnd(match verdict {
+        self.actions.push(HomeAction::CountOutcome(match verdict {
             Verdict::Done => "done",
             Verdict::NotRun { .. } | Verdict::MayHaveRun { .. } => verdict.reason(),
         }));
-        self.keep_answer(key, &answer);
+        self.store_answer(key, &answer);
     }
 
-    /// Keeps an answer for resubmissions, at the cost of the oldest ones.
-    pub(super) fn keep_answer(&mut self, key: JobKey, answer: &JobAnswer) {
-        for old in self.answers.keep(key, answer) {
+    /// Stores an answer for resubmissions and evicts the oldest ones above the limit.
+    pub(super) fn store_answer(&mut self, key: JobKey, answer: &JobAnswer) {
+        for old in self.answers.insert(key, answer) {
             if let Some(record) = self.jobs.get_mut(old)
                 && matches!(record.state, JobState::Ended(_))
             {
@@ -164,7 +166,7 @@
     }
 }
 
-/// A job none of whose tasks may have run is itself "not run".
+/// The verdict of a failed job: "not run" only if none of its tasks may have run.
 fn verdict_of(
     outcomes: &[TaskOutcome],
     not_run: NotRunReason,
@@ -189,6 +191,6 @@
             retry_after_ms,
         };
     }
-    // The answer is final: asking again can't change it.
+    // The answer is final, so there is no retry delay.
     Verdict::may_have_run(first_fault.unwrap_or(may_have_run))
 }
