--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -184,7 +184,7 @@
             own: self.own,
             free_slots: self.estimated_free_slots(now),
             outstanding: u16::try_from(self.outstanding.len()).unwrap_or(u16::MAX),
-            reported_at: self.last_report_at,
+            last_report_at: self.last_report_at,
         }
     }
 
--- a/src/core/placement/runner_view.rs
+++ b/src/core/placement/runner_view.rs
@@ -12,5 +12,5 @@
     /// Tasks of this home that the runner has.
     pub(crate) outstanding: u16,
     /// When the runner's last report arrived.
-    pub(crate) reported_at: Instant,
+    pub(crate) last_report_at: Instant,
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -16,7 +16,7 @@
         own: false,
         free_slots,
         outstanding,
-        reported_at: Instant::from_millis(1_000),
+        last_report_at: Instant::from_millis(1_000),
     }
 }
 
