--- a/src/core/execution/room.rs
+++ b/src/core/execution/capacity.rs
@@ -13,18 +13,18 @@
 ///
 /// A task runs 50 ms or more, so a figure of this age is off by less than one task in two; shorter
 /// pauses cost a message for each start and entry.
-const ROOM_REPORT_MS: u64 = 20;
+const REPORT_INTERVAL_MS: u64 = 20;
 /// Time for which room is offered to one entry alone, in milliseconds: an order comes within a round trip
 /// of two to six, and a slot that is offered in vain is idle no longer than a fifth of a short task.
-const OFFER_MS: u64 = 10;
+const RESERVATION_MS: u64 = 10;
 
 /// Time after which a wish that was not repeated is forgotten, in milliseconds: its task runs elsewhere by then,
 /// or was given up, and the entry may have smaller ones that fit.
-const WISH_MS: u64 = 500;
+const REQUEST_EXPIRY_MS: u64 = 500;
 
 /// What an entry was turned away with.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Wish {
+pub(super) struct CapacityRequest {
     /// The least of it.
     needs: Resources,
     /// When the entry was last turned away or served.
@@ -33,7 +33,7 @@
 
 /// What one entry was told of the worker's room.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ToldRoom {
+pub(super) struct ReportedCapacity {
     /// The newest report.
     pub(super) reported: Option<CapacityReport>,
     /// When it was made.
@@ -41,13 +41,13 @@
     /// A run of the entry's was ordered, refused or has ended since.
     pub(super) due: bool,
     /// What the entry still wants room for.
-    wish: Option<Wish>,
+    request: Option<CapacityRequest>,
 }
 
-impl ToldRoom {
+impl ReportedCapacity {
     /// Whether the entry waits for room of which there is enough.
     fn waits_for(&self, free: Resources) -> bool {
-        self.wish.is_some_and(|wish| wish.needs.fits(free))
+        self.request.is_some_and(|request| request.needs.fits(free))
     }
 
     /// An entry that was told nothing.
@@ -56,14 +56,14 @@
             reported: None,
             reported_at: now,
             due: true,
-            wish: None,
+            request: None,
         }
     }
 }
 
 /// Room that is offered to one entry alone.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Offer {
+pub(super) struct CapacityReservation {
     session: SessionId,
     since: Instant,
     /// Orders that the entry had sent when the offer was made.
@@ -72,33 +72,39 @@
 
 impl Executor {
     /// Notes that an entry has work which found no room.
-    pub(super) fn note_wish(&mut self, now: Instant, session: SessionId, needs: Resources) {
+    pub(super) fn record_request(&mut self, now: Instant, session: SessionId, needs: Resources) {
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
         };
-        let least = link.room.wish.map(|wish| wish.needs);
-        let needs = least.filter(|least| least.fits(needs)).unwrap_or(needs);
-        link.room.wish = Some(Wish {
+        let smallest = link.capacity.request.map(|request| request.needs);
+        let needs = smallest
+            .filter(|smallest| smallest.fits(needs))
+            .unwrap_or(needs);
+        link.capacity.request = Some(CapacityRequest {
             needs,
             renewed_at: now,
         });
     }
 
     /// Notes that an entry has nothing more to start here: what was offered to it goes to the next one at once.
-    pub(super) fn end_wish(&mut self, session: SessionId) {
+    pub(super) fn clear_request(&mut self, session: SessionId) {
         if let Some(link) = self.sessions.get_mut(&session) {
-            link.room.wish = None;
+            link.capacity.request = None;
         }
-        if self.offer.is_some_and(|offer| offer.session == session) {
-            self.offer = None;
+        if self
+            .reservation
+            .is_some_and(|reservation| reservation.session == session)
+        {
+            self.reservation = None;
         }
     }
 
-    fn forget_old_wishes(&mut self, now: Instant) {
-        let is_old = |wish: Wish| now.millis_since(wish.renewed_at) >= WISH_MS;
+    fn expire_requests(&mut self, now: Instant) {
+        let is_expired =
+            |request: CapacityRequest| now.millis_since(request.renewed_at) >= REQUEST_EXPIRY_MS;
         for link in self.sessions.values_mut() {
-            if link.room.wish.is_some_and(is_old) {
-                link.room.wish = None;
+            if link.capacity.request.is_some_and(is_expired) {
+                link.capacity.request = None;
             }
         }
     }
@@ -110,32 +116,36 @@
     /// thousand times a second at eight entries. So an entry that was turned away is told of room when it is its
     /// turn, the one with the fewest runs here first, and none of those that wait is told at the same
     /// time. An entry that was not turned away hears what is free as on a calm day.
-    pub(super) fn report_room(&mut self, now: Instant) {
+    pub(super) fn report_capacity(&mut self, now: Instant) {
         let free = match self.worker.as_ref() {
             Some(worker) if worker.ready => self.free(),
             Some(_) | None => Resources::default(),
         };
-        self.forget_old_wishes(now);
-        self.end_offer(now, free);
-        self.make_offer(now, free);
-        let offered = self.offer.map(|offer| offer.session);
+        self.expire_requests(now);
+        self.release_reservation(now, free);
+        self.reserve_capacity(now, free);
+        let reserved_for = self.reservation.map(|reservation| reservation.session);
         let entries = u16::try_from(self.sessions.len()).unwrap_or(u16::MAX);
         for (session, link) in &mut self.sessions {
-            let waits = link.room.wish.is_some() && offered != Some(*session);
+            let is_waiting = link.capacity.request.is_some() && reserved_for != Some(*session);
             let report = CapacityReport {
-                free: if waits { Resources::default() } else { free },
+                free: if is_waiting {
+                    Resources::default()
+                } else {
+                    free
+                },
                 starts_seen: link.starts_seen,
                 entries,
             };
-            let is_due = link.room.due
-                || offered == Some(*session)
-                || now.millis_since(link.room.reported_at) >= ROOM_REPORT_MS;
-            if link.room.reported == Some(report) || !is_due {
+            let is_due = link.capacity.due
+                || reserved_for == Some(*session)
+                || now.millis_since(link.capacity.reported_at) >= REPORT_INTERVAL_MS;
+            if link.capacity.reported == Some(report) || !is_due {
                 continue;
             }
-            link.room.reported = Some(report);
-            link.room.reported_at = now;
-            link.room.due = false;
+            link.capacity.reported = Some(report);
+            link.capacity.reported_at = now;
+            link.capacity.due = false;
             self.actions.push(ExecutionAction::Send {
                 session: *session,
                 frame: AgentFrame::Room(report),
@@ -144,29 +154,29 @@
     }
 
     /// Ends an offer that was taken up, that can't be any more, or that was left alone.
-    fn end_offer(&mut self, now: Instant, free: Resources) {
-        let Some(offer) = self.offer else {
+    fn release_reservation(&mut self, now: Instant, free: Resources) {
+        let Some(reservation) = self.reservation else {
             return;
         };
-        let Some(link) = self.sessions.get_mut(&offer.session) else {
-            self.offer = None;
+        let Some(link) = self.sessions.get_mut(&reservation.session) else {
+            self.reservation = None;
             return;
         };
-        let fits = link.room.waits_for(free);
-        let taken_up = link.starts_seen != offer.starts_seen;
-        let left_alone = now.millis_since(offer.since) >= OFFER_MS;
-        match &mut link.room.wish {
-            Some(wish) if taken_up => wish.renewed_at = now,
-            Some(_) if left_alone => link.room.wish = None,
+        let fits = link.capacity.waits_for(free);
+        let was_used = link.starts_seen != reservation.starts_seen;
+        let has_expired = now.millis_since(reservation.since) >= RESERVATION_MS;
+        match &mut link.capacity.request {
+            Some(request) if was_used => request.renewed_at = now,
+            Some(_) if has_expired => link.capacity.request = None,
             Some(_) | None => {}
         }
-        if taken_up || left_alone || !fits {
-            self.offer = None;
+        if was_used || has_expired || !fits {
+            self.reservation = None;
         }
     }
 
-    fn make_offer(&mut self, now: Instant, free: Resources) {
-        if self.offer.is_some() {
+    fn reserve_capacity(&mut self, now: Instant, free: Resources) {
+        if self.reservation.is_some() {
             return;
         }
         let runs_of = |session: SessionId| {
@@ -174,10 +184,10 @@
             runs.filter(|run| run.session == session).count()
         };
         let waiting = self.sessions.iter();
-        let waiting = waiting.filter(|(_, link)| link.room.waits_for(free));
+        let waiting = waiting.filter(|(_, link)| link.capacity.waits_for(free));
         let next =
-            waiting.min_by_key(|(session, link)| (runs_of(**session), link.room.reported_at));
-        self.offer = next.map(|(session, link)| Offer {
+            waiting.min_by_key(|(session, link)| (runs_of(**session), link.capacity.reported_at));
+        self.reservation = next.map(|(session, link)| CapacityReservation {
             session: *session,
             since: now,
             starts_seen: link.starts_seen,
--- a/src/core/execution/documents.rs
+++ b/src/core/execution/documents.rs
@@ -13,11 +13,11 @@
 ///
 /// Guards against copies at most agents of a site that starts: an entry names the first agents that it has met, and
 /// meets others a moment later.
-const HOLDER_PAUSE_MS: u64 = 500;
+const HOLDER_FETCH_DELAY_MS: u64 = 500;
 
 impl Executor {
     /// Fetches the document from an entry that holds a newer one and names this agent as a holder.
-    pub(super) fn on_document_offer(
+    pub(super) fn on_document_revision(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -32,7 +32,7 @@
             return;
         }
         let holder_since = *link.holder_since.get_or_insert(now);
-        if now.millis_since(holder_since) < HOLDER_PAUSE_MS {
+        if now.millis_since(holder_since) < HOLDER_FETCH_DELAY_MS {
             return;
         }
         if let Some(request) = self.document.begin_fetch(now, session, revision) {
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn take_document_part(
+    pub(super) fn handle_document_part(
         &mut self,
         now: Instant,
         session: SessionId,
--- a/src/core/execution/execution_event.rs
+++ b/src/core/execution/execution_event.rs
@@ -53,7 +53,7 @@
     /// Fencing token.
     pub(crate) token: u64,
     /// Number of the newest end that was taken in.
-    pub(crate) ends_seen: u64,
+    pub(crate) last_seen_end: u64,
     /// New end of the lease on the worker's clock, in milliseconds; none to leave it.
     pub(crate) lease_until_ms: Option<u64>,
     /// Longest time that the worker may wait for an end before it answers; zero to answer at once.
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum HoldResponse {
     /// Its lists.
-    Lists {
+    RunList {
         /// When this life of the worker began, if it says so.
         born_unix_ms: Option<u64>,
         /// Its clock, in milliseconds.
@@ -169,7 +169,7 @@
         /// The call.
         call: StartCall,
         /// The answer.
-        answer: StartResponse,
+        response: StartResponse,
     },
     /// A stop was answered, or given up if not `confirmed`.
     StopAnswered {
@@ -183,7 +183,7 @@
         /// The call.
         call: HoldCall,
         /// The answer.
-        answer: HoldResponse,
+        response: HoldResponse,
     },
     /// The process is to end.
     Shutdown,
--- a/src/core/execution/executor.rs
+++ b/src/core/execution/executor.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        ExecutionAction, ExecutionEvent, ExecutionLogEvent, SessionId, room::Offer, run::Run,
-        sessions::EntryLink, worker_state::WorkerState,
+        ExecutionAction, ExecutionEvent, ExecutionLogEvent, SessionId,
+        capacity::CapacityReservation, run::Run, sessions::EntryLink, worker_state::WorkerState,
     },
     crate::core::{
         document::DocumentCopy,
@@ -35,15 +35,15 @@
     pub(super) runs: BTreeMap<TaskId, Run>,
     pub(super) sessions: BTreeMap<SessionId, EntryLink>,
     /// Lost sessions with runs that are not over, and their entries.
-    pub(super) clearing: BTreeMap<SessionId, String>,
-    pub(super) news: Option<EvacuatedZones>,
+    pub(super) draining_sessions: BTreeMap<SessionId, String>,
+    pub(super) zones: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<SessionId>,
     pub(super) token: u64,
     pub(super) token_step: u64,
-    pub(super) last_hold: u64,
+    pub(super) last_hold_sequence: u64,
     pub(super) leaving: bool,
     /// Room that is offered to one entry alone, while several wait for some.
-    pub(super) offer: Option<Offer>,
+    pub(super) reservation: Option<CapacityReservation>,
     pub(super) actions: Vec<ExecutionAction>,
 }
 
@@ -52,17 +52,17 @@
     pub(crate) fn new(settings: ExecutorSettings) -> Self {
         Self {
             token: settings.first_token,
-            token_step: super::LEAST_TOKEN_STEP,
+            token_step: super::INITIAL_TOKEN_STEP,
             settings,
             worker: None,
             runs: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            clearing: BTreeMap::new(),
-            news: None,
+            draining_sessions: BTreeMap::new(),
+            zones: None,
             document: DocumentCopy::default(),
-            last_hold: 0,
+            last_hold_sequence: 0,
             leaving: false,
-            offer: None,
+            reservation: None,
             actions: Vec::new(),
         }
     }
@@ -78,34 +78,36 @@
             ExecutionEvent::SessionOpened { session, entry } => {
                 self.on_session_opened(now, session, entry);
             }
-            ExecutionEvent::SessionLost { session } => self.lose_session(now, session, "closed"),
+            ExecutionEvent::SessionLost { session } => {
+                self.disconnect_session(now, session, "closed")
+            }
             ExecutionEvent::Frame { session, frame } => self.on_frame(now, session, frame),
             ExecutionEvent::Heartbeat { view, sequence } => self.on_heartbeat(now, view, sequence),
-            ExecutionEvent::WorkerRestored { view } => self.on_recalled(now, view),
+            ExecutionEvent::WorkerRestored { view } => self.on_worker_restored(now, view),
             ExecutionEvent::WorkerLeft { worker } => self.on_worker_left(now, &worker),
-            ExecutionEvent::StartAnswered { call, answer } => {
-                self.on_start_answered(now, &call, answer);
+            ExecutionEvent::StartAnswered { call, response } => {
+                self.on_start_answered(now, &call, response);
             }
             ExecutionEvent::StopAnswered { call, confirmed } => {
                 self.on_stop_answered(&call, confirmed);
             }
-            ExecutionEvent::HoldAnswered { call, answer } => {
-                self.on_hold_answered(now, &call, answer);
+            ExecutionEvent::HoldAnswered { call, response } => {
+                self.on_hold_answered(now, &call, response);
             }
-            ExecutionEvent::Shutdown => self.on_leave(),
+            ExecutionEvent::Shutdown => self.on_shutdown(),
             ExecutionEvent::Tick => self.on_tick(now),
         }
-        self.tend_worker(now);
-        self.clear_sessions();
-        self.report_room(now);
+        self.maintain_worker(now);
+        self.report_drained_sessions();
+        self.report_capacity(now);
         mem::take(&mut self.actions)
     }
 
     fn on_tick(&mut self, now: Instant) {
-        self.close_silent_sessions(now);
-        self.stop_unwanted_runs(now);
-        self.repeat_stops(now);
-        self.doubt_recalled_worker(now);
+        self.close_unresponsive_sessions(now);
+        self.stop_expired_runs(now);
+        self.retry_stops(now);
+        self.drain_unreported_worker(now);
     }
 
     /// Takes in what the worker says of itself.
@@ -128,8 +130,8 @@
             Some((_, newest, true)) if sequence <= newest => return,
             Some((_, _, true)) => {}
             Some((_, _, false)) | None => {
-                self.keep(view.clone());
-                self.begin_life(now, view, sequence);
+                self.persist_worker(view.clone());
+                self.start_incarnation(now, view, sequence);
                 return;
             }
         }
@@ -138,17 +140,17 @@
             return;
         };
         worker.report_sequence = sequence;
-        worker.recalled_at = None;
+        worker.restored_at = None;
         if worker.view == view {
             return;
         }
-        let drains = view.draining && !worker.view.draining;
+        let starts_draining = view.draining && !worker.view.draining;
         worker.view = view.clone();
         let name = worker.view.life.id.clone();
-        if drains {
+        if starts_draining {
             self.log_event(ExecutionLogEvent::WorkerDraining { worker: name, runs });
         }
-        self.keep(view);
+        self.persist_worker(view);
         self.announce_worker();
     }
 
@@ -157,7 +159,7 @@
     /// Guards against two runs of a task: a worker may begin anew under its name, take starts, and its report of
     /// that come seconds late. Runs that it is taken to have, and orders under way, may therefore be
     /// at work in the new life; its lists under a higher token settle which are.
-    pub(super) fn begin_life(&mut self, now: Instant, view: WorkerView, sequence: u64) {
+    pub(super) fn start_incarnation(&mut self, now: Instant, view: WorkerView, sequence: u64) {
         let same_name = self
             .worker
             .as_ref()
@@ -165,7 +167,7 @@
         let runs_lost = if same_name {
             0
         } else {
-            self.lose_confirmed_runs(now, "worker_restarted")
+            self.mark_confirmed_runs_lost(now, "worker_restarted")
         };
         self.log_event(ExecutionLogEvent::WorkerSeen {
             worker: view.life.id.clone(),
@@ -173,7 +175,7 @@
             runs_lost,
         });
         self.worker = Some(WorkerState::new(now, view, sequence));
-        self.doubt_all_runs();
+        self.mark_all_runs_uncertain();
     }
 
     fn on_worker_left(&mut self, now: Instant, worker: &str) {
@@ -184,7 +186,7 @@
         {
             return;
         }
-        let runs = self.lose_confirmed_runs(now, "worker_left");
+        let runs = self.mark_confirmed_runs_lost(now, "worker_left");
         self.log_event(ExecutionLogEvent::WorkerLost {
             worker: worker.to_owned(),
             cause: "left",
@@ -197,13 +199,13 @@
         self.announce_worker();
     }
 
-    fn on_leave(&mut self) {
+    fn on_shutdown(&mut self) {
         self.leaving = true;
         self.announce_worker();
     }
 
     /// The worker as entries should see it: absent until it is ready.
-    pub(super) fn offered_worker(&self) -> Option<WorkerView> {
+    pub(super) fn announced_worker(&self) -> Option<WorkerView> {
         let worker = self.worker.as_ref().filter(|worker| worker.ready)?;
         let mut view = worker.view.clone();
         view.draining |= self.leaving;
@@ -211,7 +213,7 @@
     }
 
     pub(super) fn announce_worker(&mut self) {
-        let view = self.offered_worker();
+        let view = self.announced_worker();
         for session in self.sessions.keys() {
             self.actions.push(ExecutionAction::Send {
                 session: *session,
@@ -225,21 +227,21 @@
         let Some(worker) = &self.worker else {
             return Resources::default();
         };
-        let taken = self.runs.values();
-        taken.fold(worker.view.capacity, |free, run| {
+        let runs = self.runs.values();
+        runs.fold(worker.view.capacity, |free, run| {
             free.minus(run.order.needs)
         })
     }
 
     /// Ends a run and tells its entry; the cause is that of its stop, if it was stopped.
-    pub(super) fn end_run(&mut self, now: Instant, task: TaskId, end: RunOutcome) {
+    pub(super) fn finish_run(&mut self, now: Instant, task: TaskId, end: RunOutcome) {
         let stop = self.runs.get(&task).and_then(|run| run.stop);
         let cause = stop.map_or("", |stop| stop.cause);
-        self.end_run_because(now, task, end, cause);
+        self.finish_run_with_cause(now, task, end, cause);
     }
 
     /// Ends a run for this cause and tells its entry.
-    pub(super) fn end_run_because(
+    pub(super) fn finish_run_with_cause(
         &mut self,
         now: Instant,
         task: TaskId,
@@ -271,11 +273,11 @@
             });
         }
         if let Some(link) = self.sessions.get_mut(&run.session) {
-            link.room.due = true;
+            link.capacity.due = true;
         }
     }
 
-    pub(super) fn log_event(&mut self, note: ExecutionLogEvent) {
-        self.actions.push(ExecutionAction::Log(note));
+    pub(super) fn log_event(&mut self, event: ExecutionLogEvent) {
+        self.actions.push(ExecutionAction::Log(event));
     }
 }
--- a/src/core/execution/mod.rs
+++ b/src/core/execution/mod.rs
@@ -1,15 +1,15 @@
 //! Runs tasks on the one worker beside an agent, for several entries, never two runs of a task at once.
 
+mod capacity;
 mod documents;
 mod execution_event;
 mod execution_log_event;
 mod executor;
-mod holds;
 mod lease;
-mod orders;
-mod recall;
-mod room;
+mod restored_worker;
 mod run;
+mod run_calls;
+mod run_list;
 mod sessions;
 mod worker_state;
 
@@ -23,5 +23,5 @@
     },
     execution_log_event::ExecutionLogEvent,
     executor::{Executor, ExecutorSettings},
-    lease::LEAST_TOKEN_STEP,
+    lease::INITIAL_TOKEN_STEP,
 };
--- a/src/core/execution/run.rs
+++ b/src/core/execution/run.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartState {
     /// The call is under way.
-    Ordered,
+    Pending,
     /// Nobody knows whether the worker has it. A hold with a token above this one settles it.
     Unresolved {
         /// Token that the order carried.
         token: u64,
         /// The worker had it, perhaps in a life that is over.
-        begun: bool,
+        may_have_started: bool,
     },
     /// The worker has it since then.
     Confirmed {
@@ -32,7 +32,7 @@
     /// When the newest call was made.
     pub(super) sent_at: Instant,
     /// Holds with this number or a higher one were sent after the worker took the stop.
-    pub(super) confirmed_before: Option<u64>,
+    pub(super) confirmed_from_hold: Option<u64>,
 }
 
 /// A run that is not over.
@@ -45,9 +45,9 @@
     /// Number of the run as the worker counts; above the entry's where an earlier run ended here.
     pub(super) number: u32,
     /// Calls made to start it.
-    pub(super) tries: u32,
+    pub(super) start_calls: u32,
     /// When the order came.
-    pub(super) ordered_at: Instant,
+    pub(super) received_at: Instant,
     /// How far the start has come.
     pub(super) start: StartState,
     /// The stop, if it is to stop.
@@ -59,12 +59,12 @@
     pub(super) const fn ran_ms(&self, now: Instant) -> u64 {
         match self.start {
             StartState::Confirmed { at } => now.millis_since(at),
-            StartState::Ordered | StartState::Unresolved { .. } => 0,
+            StartState::Pending | StartState::Unresolved { .. } => 0,
         }
     }
 
     /// When nobody waits for its job any more.
-    pub(super) const fn wanted_until(&self) -> Instant {
-        self.ordered_at.plus_ms(self.order.time_left_ms)
+    pub(super) const fn deadline(&self) -> Instant {
+        self.received_at.plus_ms(self.order.time_left_ms)
     }
 }
--- a/src/core/execution/orders.rs
+++ b/src/core/execution/run_calls.rs
@@ -16,20 +16,20 @@
 /// Most calls made to start one run, where each one before did nothing.
 ///
 /// Numbers used by earlier runs of the task and a change of the token cost one call each.
-const MOST_TRIES: u32 = 6;
+const MAX_START_CALLS: u32 = 6;
 /// Pause before a stop that was not answered is sent again, in milliseconds: twice what a worker
 /// takes to stop a run.
-const STOP_REPEAT_MS: u64 = 100;
+const STOP_RETRY_INTERVAL_MS: u64 = 100;
 
 impl Executor {
-    pub(super) fn order_start(&mut self, now: Instant, session: SessionId, order: StartOrder) {
+    pub(super) fn start_run(&mut self, now: Instant, session: SessionId, order: StartOrder) {
         let task = order.run.task;
         let run = Run {
             session,
             number: order.run.number,
-            tries: 0,
-            ordered_at: now,
-            start: StartState::Ordered,
+            start_calls: 0,
+            received_at: now,
+            start: StartState::Pending,
             stop: None,
             order,
         };
@@ -39,7 +39,7 @@
 
     fn call_start(&mut self, now: Instant, task: TaskId) {
         let Some(lease_until_ms) = self.extend_lease(now) else {
-            self.end_run(
+            self.finish_run(
                 now,
                 task,
                 RunOutcome::NotStarted(NotStartedReason::NoWorker),
@@ -50,8 +50,8 @@
         let Some(run) = self.runs.get_mut(&task) else {
             return;
         };
-        run.tries += 1;
-        run.start = StartState::Ordered;
+        run.start_calls += 1;
+        run.start = StartState::Pending;
         let call = StartCall {
             worker,
             task,
@@ -82,22 +82,22 @@
         &mut self,
         now: Instant,
         call: &StartCall,
-        answer: StartResponse,
+        response: StartResponse,
     ) {
-        if answer != StartResponse::Unanswered {
-            self.note_worker_answer(now);
+        if response != StartResponse::Unanswered {
+            self.record_worker_response(now);
         }
         let token = self.token;
         let Some(run) = self.runs.get_mut(&call.task) else {
             return;
         };
         // What a hold has settled since needs no answer any more.
-        if run.number != call.number || run.start != StartState::Ordered {
+        if run.number != call.number || run.start != StartState::Pending {
             return;
         }
-        match answer {
+        match response {
             StartResponse::Accepted => run.start = StartState::Confirmed { at: now },
-            StartResponse::Unanswered => self.doubt_run(call.task, call.token),
+            StartResponse::Unanswered => self.mark_run_uncertain(call.task, call.token),
             StartResponse::Fenced => {
                 if call.token >= token {
                     self.raise_token();
@@ -111,14 +111,14 @@
             StartResponse::Late => self.retry_start(now, call.task, NotStartedReason::Rejected),
             StartResponse::NoRoom => {
                 let (session, needs) = (run.session, run.order.needs);
-                self.note_wish(now, session, needs);
-                self.end_not_started(now, call.task, NotStartedReason::NoRoom);
+                self.record_request(now, session, needs);
+                self.finish_not_started(now, call.task, NotStartedReason::NoRoom);
             }
             StartResponse::Unhealthy => {
-                self.end_not_started(now, call.task, NotStartedReason::Unhealthy);
+                self.finish_not_started(now, call.task, NotStartedReason::Unhealthy);
             }
             StartResponse::Rejected => {
-                self.end_not_started(now, call.task, NotStartedReason::Rejected);
+                self.finish_not_started(now, call.task, NotStartedReason::Rejected);
             }
         }
     }
@@ -128,15 +128,20 @@
         let Some(run) = self.runs.get(&task) else {
             return;
         };
-        if run.stop.is_some() || run.tries >= MOST_TRIES {
-            self.end_not_started(now, task, reason);
+        if run.stop.is_some() || run.start_calls >= MAX_START_CALLS {
+            self.finish_not_started(now, task, reason);
             return;
         }
         self.call_start(now, task);
     }
 
-    pub(super) fn end_not_started(&mut self, now: Instant, task: TaskId, reason: NotStartedReason) {
-        self.end_run(now, task, RunOutcome::NotStarted(reason));
+    pub(super) fn finish_not_started(
+        &mut self,
+        now: Instant,
+        task: TaskId,
+        reason: NotStartedReason,
+    ) {
+        self.finish_run(now, task, RunOutcome::NotStarted(reason));
     }
 
     /// Raises the fencing token above that of an order that was not answered.
@@ -144,18 +149,18 @@
     /// Guards against an order that is carried out seconds later, when its task runs elsewhere:
     /// once the worker has answered a hold with the higher token, it has either started the run,
     /// and lists it, or rejects the order whenever it arrives.
-    fn doubt_run(&mut self, task: TaskId, order_token: u64) {
-        if self.token <= order_token {
-            self.token = order_token + 1;
+    fn mark_run_uncertain(&mut self, task: TaskId, call_token: u64) {
+        if self.token <= call_token {
+            self.token = call_token + 1;
         }
         let token = self.token;
         let Some(run) = self.runs.get_mut(&task) else {
             return;
         };
-        let begun = matches!(run.start, StartState::Confirmed { .. });
+        let may_have_started = matches!(run.start, StartState::Confirmed { .. });
         run.start = StartState::Unresolved {
-            token: order_token,
-            begun,
+            token: call_token,
+            may_have_started,
         };
         let run_id = run.order.run;
         self.log_event(ExecutionLogEvent::OrderUnanswered {
@@ -163,29 +168,31 @@
             run: run_id.to_string(),
             token,
         });
-        self.ask_lists();
+        self.request_run_list();
     }
 
     /// Doubts all runs when another life of the worker begins: its lists tell which of them it has.
     ///
     /// Guards against a false "not started": the life before may have begun an order whose answer
     /// never came, so what the new one does not list may have run.
-    pub(super) fn doubt_all_runs(&mut self) {
-        let doubted: Vec<TaskId> = self.runs.keys().copied().collect();
+    pub(super) fn mark_all_runs_uncertain(&mut self) {
+        let uncertain: Vec<TaskId> = self.runs.keys().copied().collect();
         let token = self.token;
-        for task in doubted {
-            self.doubt_run(task, token);
+        for task in uncertain {
+            self.mark_run_uncertain(task, token);
             if let Some(run) = self.runs.get_mut(&task)
-                && let StartState::Unresolved { begun, .. } = &mut run.start
+                && let StartState::Unresolved {
+                    may_have_started, ..
+                } = &mut run.start
             {
-                *begun = true;
+                *may_have_started = true;
             }
         }
     }
 
     /// Takes in that the worker has taken a stop, or that nobody knows.
     pub(super) fn on_stop_answered(&mut self, call: &StopCall, confirmed: bool) {
-        let next_hold = self.last_hold + 1;
+        let next_hold = self.last_hold_sequence + 1;
         let Some(run) = self.runs.get_mut(&call.task) else {
             return;
         };
@@ -193,20 +200,20 @@
             return;
         }
         if let Some(stop) = &mut run.stop
-            && stop.confirmed_before.is_none()
+            && stop.confirmed_from_hold.is_none()
         {
-            stop.confirmed_before = Some(next_hold);
-            self.ask_lists();
+            stop.confirmed_from_hold = Some(next_hold);
+            self.request_run_list();
         }
     }
 
     /// Sends stops again that were not answered.
-    pub(super) fn repeat_stops(&mut self, now: Instant) {
+    pub(super) fn retry_stops(&mut self, now: Instant) {
         let mut due = Vec::new();
         for (task, run) in &mut self.runs {
             if let Some(stop) = &mut run.stop
-                && stop.confirmed_before.is_none()
-                && now.millis_since(stop.sent_at) >= STOP_REPEAT_MS
+                && stop.confirmed_from_hold.is_none()
+                && now.millis_since(stop.sent_at) >= STOP_RETRY_INTERVAL_MS
             {
                 stop.sent_at = now;
                 due.push((*task, run.number));
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ExecutionAction, ExecutionLogEvent, Executor, SessionId,
-        room::ToldRoom,
+        capacity::ReportedCapacity,
         run::{Run, StopState},
     },
     crate::core::{
@@ -16,7 +16,7 @@
 /// Pause before news is passed to an entry that goes by older ones, in milliseconds.
 ///
 /// An entry that reaches the store has newer news within a few milliseconds of the others.
-const NEWS_RELAY_MS: u64 = 400;
+const ZONES_RELAY_DELAY_MS: u64 = 400;
 
 /// One entry's session.
 #[derive(Debug)]
@@ -24,15 +24,15 @@
     /// The entry's address, for logs.
     pub(super) entry: String,
     /// Tasks may run for this entry until then.
-    pub(super) right_until: Instant,
+    pub(super) lease_until: Instant,
     /// When the entry was last heard.
-    pub(super) heard_at: Instant,
+    pub(super) last_received_at: Instant,
     /// Start orders taken in.
     pub(super) starts_seen: u32,
     /// What the entry was told of free room.
-    pub(super) room: ToldRoom,
+    pub(super) capacity: ReportedCapacity,
     /// The entry goes by older news than this agent knows since then.
-    pub(super) behind_since: Option<Instant>,
+    pub(super) zones_outdated_since: Option<Instant>,
     /// The entry names this agent as a holder of the document since then.
     pub(super) holder_since: Option<Instant>,
 }
@@ -44,8 +44,11 @@
     /// that are not over, and the entry would start them elsewhere. Such a session is given up.
     pub(super) fn on_session_opened(&mut self, now: Instant, session: SessionId, entry: String) {
         let is_open = self.sessions.values().any(|link| link.entry == entry);
-        let is_clearing = self.clearing.values().any(|earlier| *earlier == entry);
-        if is_open || is_clearing {
+        let is_draining = self
+            .draining_sessions
+            .values()
+            .any(|earlier| *earlier == entry);
+        if is_open || is_draining {
             self.log_event(ExecutionLogEvent::EntryLost {
                 entry,
                 cause: "second_session",
@@ -63,11 +66,11 @@
         let link = EntryLink {
             entry,
             // Nothing starts before the entry has sent the first stamp back.
-            right_until: now,
-            heard_at: now,
+            lease_until: now,
+            last_received_at: now,
             starts_seen: 0,
-            room: ToldRoom::new(now),
-            behind_since: None,
+            capacity: ReportedCapacity::new(now),
+            zones_outdated_since: None,
             holder_since: None,
         };
         self.sessions.insert(session, link);
@@ -76,7 +79,7 @@
             stamp_us: now.as_micros(),
         };
         self.send(session, hello);
-        let view = self.offered_worker();
+        let view = self.announced_worker();
         self.send(session, AgentFrame::Worker(view));
     }
 
@@ -88,7 +91,7 @@
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
         };
-        link.heard_at = now;
+        link.last_received_at = now;
         match frame {
             EntryFrame::Beat {
                 echo_us,
@@ -96,18 +99,18 @@
                 document_revision,
                 is_holder,
             } => {
-                self.on_beat(now, session, echo_us, news_version);
-                self.on_document_offer(now, session, document_revision, is_holder);
+                self.on_entry_heartbeat(now, session, echo_us, news_version);
+                self.on_document_revision(now, session, document_revision, is_holder);
             }
             EntryFrame::Start(order) => self.on_start(now, session, order),
             EntryFrame::Stop { run } => self.on_stop(now, session, run),
-            EntryFrame::Decline => self.end_wish(session),
-            EntryFrame::News(news) => self.take_news(news),
+            EntryFrame::Decline => self.clear_request(session),
+            EntryFrame::News(zones) => self.apply_zones(zones),
             EntryFrame::FetchDocument(request) => {
                 let part = self.document.part(request);
                 self.send(session, AgentFrame::DocumentPart(part));
             }
-            EntryFrame::DocumentPart(part) => self.take_document_part(now, session, &part),
+            EntryFrame::DocumentPart(part) => self.handle_document_part(now, session, &part),
         }
     }
 
@@ -116,25 +119,31 @@
     /// Guards against two runs of a task after its entry could not be reached: the right counts
     /// from a stamp that this agent made, so bytes that were held up on the way extend it by
     /// nothing, and the entry knows an upper bound of it from when the stamp arrived there.
-    fn on_beat(&mut self, now: Instant, session: SessionId, echo_us: u64, news_version: u64) {
+    fn on_entry_heartbeat(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        echo_us: u64,
+        news_version: u64,
+    ) {
         let silence_ms = self.settings.limits.silence_ms;
-        let known = self.news.as_ref().map_or(0, |news| news.version);
+        let known = self.zones.as_ref().map_or(0, |zones| zones.version);
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
         };
-        let proved = Instant::from_micros(echo_us.min(now.as_micros())).plus_ms(silence_ms);
-        link.right_until = link.right_until.max(proved);
+        let proven_until = Instant::from_micros(echo_us.min(now.as_micros())).plus_ms(silence_ms);
+        link.lease_until = link.lease_until.max(proven_until);
         if news_version >= known {
-            link.behind_since = None;
-        } else if link.behind_since.is_none() {
-            link.behind_since = Some(now);
+            link.zones_outdated_since = None;
+        } else if link.zones_outdated_since.is_none() {
+            link.zones_outdated_since = Some(now);
         }
         let relay = link
-            .behind_since
-            .is_some_and(|since| now.millis_since(since) >= NEWS_RELAY_MS);
+            .zones_outdated_since
+            .is_some_and(|since| now.millis_since(since) >= ZONES_RELAY_DELAY_MS);
         if relay {
             // Asked again after another pause, should this copy be lost.
-            link.behind_since = Some(now);
+            link.zones_outdated_since = Some(now);
         }
         self.send(
             session,
@@ -143,21 +152,21 @@
                 document_revision: self.document.revision(),
             },
         );
-        if let Some(news) = self.news.clone().filter(|_| relay) {
-            self.send(session, AgentFrame::News(news));
+        if let Some(zones) = self.zones.clone().filter(|_| relay) {
+            self.send(session, AgentFrame::News(zones));
         }
     }
 
     /// Takes in news unless it is older than what is known.
-    fn take_news(&mut self, news: EvacuatedZones) {
-        if !news.is_newer_than(self.news.as_ref()) {
+    fn apply_zones(&mut self, zones: EvacuatedZones) {
+        if !zones.is_newer_than(self.zones.as_ref()) {
             return;
         }
         self.log_event(ExecutionLogEvent::NewsTaken {
-            version: news.version,
-            evacuated: news.evacuated.iter().cloned().collect(),
+            version: zones.version,
+            evacuated: zones.evacuated.iter().cloned().collect(),
         });
-        self.news = Some(news);
+        self.zones = Some(zones);
     }
 
     fn on_start(&mut self, now: Instant, session: SessionId, order: StartOrder) {
@@ -165,18 +174,23 @@
             return;
         };
         link.starts_seen += 1;
-        link.room.due = true;
-        if let Some(reason) = self.refusal(now, session, &order) {
+        link.capacity.due = true;
+        if let Some(reason) = self.reject_reason(now, session, &order) {
             if reason == NotStartedReason::NoRoom {
-                self.note_wish(now, session, order.needs);
+                self.record_request(now, session, order.needs);
             }
-            self.refuse(session, order.run, reason);
+            self.reject_start(session, order.run, reason);
             return;
         }
-        self.order_start(now, session, order);
+        self.start_run(now, session, order);
     }
 
-    pub(super) fn refuse(&mut self, session: SessionId, run: RunId, reason: NotStartedReason) {
+    pub(super) fn reject_start(
+        &mut self,
+        session: SessionId,
+        run: RunId,
+        reason: NotStartedReason,
+    ) {
         self.log_event(ExecutionLogEvent::RunNotStarted {
             job: run.task.job.to_string(),
             run: run.to_string(),
@@ -192,17 +206,17 @@
     }
 
     /// Why the order can't be followed, if it can't.
-    fn refusal(
+    fn reject_reason(
         &self,
         now: Instant,
         session: SessionId,
         order: &StartOrder,
     ) -> Option<NotStartedReason> {
-        let right_until = self.sessions.get(&session)?.right_until;
+        let lease_until = self.sessions.get(&session)?.lease_until;
         let Some(worker) = self.worker.as_ref().filter(|worker| worker.ready) else {
             return Some(NotStartedReason::NoWorker);
         };
-        if now >= right_until {
+        if now >= lease_until {
             return Some(NotStartedReason::RightLapsed);
         }
         if worker.view.draining || self.leaving {
@@ -221,86 +235,96 @@
     }
 
     fn is_evacuated(&self, zone: &str) -> bool {
-        self.news
+        self.zones
             .as_ref()
-            .is_some_and(|news| news.evacuated.contains(zone))
+            .is_some_and(|zones| zones.evacuated.contains(zone))
     }
 
     fn on_stop(&mut self, now: Instant, session: SessionId, run: RunId) {
-        let is_this = |known: &Run| known.session == session && known.order.run == run;
-        if self.runs.get(&run.task).is_some_and(is_this) {
+        let is_same_run = |known: &Run| known.session == session && known.order.run == run;
+        if self.runs.get(&run.task).is_some_and(is_same_run) {
             self.stop_run(now, run.task, "asked");
         }
     }
 
     /// Gives up sessions whose entry's right has lapsed.
-    pub(super) fn close_silent_sessions(&mut self, now: Instant) {
+    pub(super) fn close_unresponsive_sessions(&mut self, now: Instant) {
         let silence_ms = self.settings.limits.silence_ms;
-        let silent: Vec<SessionId> = self
+        let unresponsive: Vec<SessionId> = self
             .sessions
             .iter()
             .filter(|(_, link)| {
-                now >= link.right_until && now.millis_since(link.heard_at) >= silence_ms
-                    || now >= link.right_until.plus_ms(silence_ms)
+                now >= link.lease_until && now.millis_since(link.last_received_at) >= silence_ms
+                    || now >= link.lease_until.plus_ms(silence_ms)
             })
             .map(|(session, _)| *session)
             .collect();
-        for session in silent {
+        for session in unresponsive {
             self.actions.push(ExecutionAction::Close { session });
-            self.lose_session(now, session, "silent");
+            self.disconnect_session(now, session, "silent");
         }
     }
 
     /// Stops what a lost session started. Its entry has no client left, or will wait until all is over.
-    pub(super) fn lose_session(&mut self, now: Instant, session: SessionId, cause: &'static str) {
+    pub(super) fn disconnect_session(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        cause: &'static str,
+    ) {
         let Some(link) = self.sessions.remove(&session) else {
             return;
         };
         self.document.lose_peer(session);
-        let tasks = self.tasks_of(session);
+        let tasks = self.tasks_of_session(session);
         self.log_event(ExecutionLogEvent::EntryLost {
             entry: link.entry.clone(),
             cause,
-            heard_ms_ago: now.millis_since(link.heard_at),
+            heard_ms_ago: now.millis_since(link.last_received_at),
             runs: tasks.len(),
         });
-        self.clearing.insert(session, link.entry);
+        self.draining_sessions.insert(session, link.entry);
         for task in tasks {
             self.stop_run(now, task, "entry_lost");
         }
     }
 
-    fn tasks_of(&self, session: SessionId) -> Vec<TaskId> {
+    fn tasks_of_session(&self, session: SessionId) -> Vec<TaskId> {
         let runs = self.runs.iter().filter(|(_, run)| run.session == session);
         runs.map(|(task, _)| *task).collect()
     }
 
     /// Stops runs whose right has lapsed or whose job nobody waits for.
-    pub(super) fn stop_unwanted_runs(&mut self, now: Instant) {
-        let mut unwanted = Vec::new();
+    pub(super) fn stop_expired_runs(&mut self, now: Instant) {
+        let mut expired = Vec::new();
         for (task, run) in &self.runs {
-            let lapsed = self
+            let lease_expired = self
                 .sessions
                 .get(&run.session)
-                .is_none_or(|link| now >= link.right_until);
-            if lapsed {
-                unwanted.push((*task, "right_lapsed"));
-            } else if now >= run.wanted_until() {
-                unwanted.push((*task, "deadline"));
+                .is_none_or(|link| now >= link.lease_until);
+            if lease_expired {
+                expired.push((*task, "right_lapsed"));
+            } else if now >= run.deadline() {
+                expired.push((*task, "deadline"));
             }
         }
-        for (task, cause) in unwanted {
+        for (task, cause) in expired {
             self.stop_run(now, task, cause);
         }
     }
 
     /// Says which lost sessions have nothing left here.
-    pub(super) fn clear_sessions(&mut self) {
+    pub(super) fn report_drained_sessions(&mut self) {
         let runs = &self.runs;
-        let is_clear = |session: &SessionId| runs.values().all(|run| run.session != *session);
-        let clear: Vec<SessionId> = self.clearing.keys().copied().filter(is_clear).collect();
-        for session in clear {
-            self.clearing.remove(&session);
+        let is_drained = |session: &SessionId| runs.values().all(|run| run.session != *session);
+        let drained: Vec<SessionId> = self
+            .draining_sessions
+            .keys()
+            .copied()
+            .filter(is_drained)
+            .collect();
+        for session in drained {
+            self.draining_sessions.remove(&session);
             self.actions
                 .push(ExecutionAction::SessionDrained { session });
         }
@@ -317,7 +341,7 @@
         run.stop = Some(StopState {
             cause,
             sent_at: now,
-            confirmed_before: None,
+            confirmed_from_hold: None,
         });
         let number = run.number;
         self.call_stop(task, number);
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -18,7 +18,7 @@
 const BORN_MS: u64 = 5_000;
 
 /// An executor with its clock and what it last wanted done.
-struct Bench {
+struct TestExecutor {
     executor: Executor,
     now: Instant,
     actions: Vec<ExecutionAction>,
@@ -56,7 +56,7 @@
     }
 }
 
-fn order(job: u64) -> StartOrder {
+fn start_order(job: u64) -> StartOrder {
     StartOrder {
         run: run(job),
         spec: Arc::from("spec"),
@@ -68,7 +68,7 @@
     }
 }
 
-impl Bench {
+impl TestExecutor {
     /// An executor that knows neither a worker nor an entry.
     fn without_worker() -> Self {
         let settings = ExecutorSettings {
@@ -86,13 +86,13 @@
 
     /// An executor with a worker that is ready and an entry that may run tasks.
     fn ready() -> Self {
-        let mut bench = Self::without_worker();
-        bench.heartbeat(BORN_MS, 1, false);
-        let look = bench.holds().remove(0);
-        bench.lists(look, &[], &[]);
-        bench.open_session();
-        bench.beat();
-        bench
+        let mut test = Self::without_worker();
+        test.send_worker_heartbeat(BORN_MS, 1, false);
+        let poll = test.hold_calls().remove(0);
+        test.send_run_list(poll, &[], &[]);
+        test.open_session();
+        test.send_entry_heartbeat();
+        test
     }
 
     fn open_session(&mut self) {
@@ -100,33 +100,33 @@
     }
 
     fn open_session_of(&mut self, entry: &str, session: SessionId) {
-        self.feed(ExecutionEvent::SessionOpened {
+        self.send_event(ExecutionEvent::SessionOpened {
             session,
             entry: entry.to_owned(),
         });
     }
 
-    fn feed(&mut self, event: ExecutionEvent) {
+    fn send_event(&mut self, event: ExecutionEvent) {
         self.actions = self.executor.handle(self.now, event);
     }
 
-    fn tick_after(&mut self, pause_ms: u64) {
-        self.now = self.now.plus_ms(pause_ms);
-        self.feed(ExecutionEvent::Tick);
+    fn advance(&mut self, elapsed_ms: u64) {
+        self.now = self.now.plus_ms(elapsed_ms);
+        self.send_event(ExecutionEvent::Tick);
     }
 
-    fn heartbeat(&mut self, born_unix_ms: u64, sequence: u64, draining: bool) {
+    fn send_worker_heartbeat(&mut self, born_unix_ms: u64, sequence: u64, draining: bool) {
         let view = view(born_unix_ms, draining);
-        self.feed(ExecutionEvent::Heartbeat { view, sequence });
+        self.send_event(ExecutionEvent::Heartbeat { view, sequence });
     }
 
-    fn frame(&mut self, frame: EntryFrame) {
+    fn send_frame(&mut self, frame: EntryFrame) {
         let session = SESSION;
-        self.feed(ExecutionEvent::Frame { session, frame });
+        self.send_event(ExecutionEvent::Frame { session, frame });
     }
 
-    fn beat(&mut self) {
-        self.frame(EntryFrame::Beat {
+    fn send_entry_heartbeat(&mut self) {
+        self.send_frame(EntryFrame::Beat {
             echo_us: self.now.as_micros(),
             news_version: 0,
             document_revision: 0,
@@ -134,13 +134,19 @@
         });
     }
 
-    fn lists(&mut self, call: HoldCall, running: &[RunId], ended: &[ListedEnd]) {
-        self.lists_at(1_000, call, running, ended);
+    fn send_run_list(&mut self, call: HoldCall, running: &[RunId], ended: &[ListedEnd]) {
+        self.send_run_list_at(1_000, call, running, ended);
     }
 
     /// The lists as the worker made them when its clock showed this time.
-    fn lists_at(&mut self, clock_ms: u64, call: HoldCall, running: &[RunId], ended: &[ListedEnd]) {
-        let answer = HoldResponse::Lists {
+    fn send_run_list_at(
+        &mut self,
+        clock_ms: u64,
+        call: HoldCall,
+        running: &[RunId],
+        ended: &[ListedEnd],
+    ) {
+        let response = HoldResponse::RunList {
             born_unix_ms: Some(BORN_MS),
             clock_ms,
             running: running
@@ -152,26 +158,26 @@
                 .collect(),
             ended: ended.to_vec(),
         };
-        self.feed(ExecutionEvent::HoldAnswered { call, answer });
+        self.send_event(ExecutionEvent::HoldAnswered { call, response });
     }
 
-    fn holds(&self) -> Vec<HoldCall> {
-        let holds = self.actions.iter().filter_map(|action| match action {
+    fn hold_calls(&self) -> Vec<HoldCall> {
+        let hold_calls = self.actions.iter().filter_map(|action| match action {
             ExecutionAction::Hold(call) => Some(call.clone()),
             _ => None,
         });
-        holds.collect()
+        hold_calls.collect()
     }
 
-    fn starts(&self) -> Vec<StartCall> {
-        let starts = self.actions.iter().filter_map(|action| match action {
+    fn start_calls(&self) -> Vec<StartCall> {
+        let start_calls = self.actions.iter().filter_map(|action| match action {
             ExecutionAction::Start(call) => Some(call.clone()),
             _ => None,
         });
-        starts.collect()
+        start_calls.collect()
     }
 
-    fn stops(&self) -> usize {
+    fn stop_count(&self) -> usize {
         let stops = self.actions.iter();
         stops
             .filter(|action| matches!(action, ExecutionAction::Stop(_)))
@@ -179,68 +185,68 @@
     }
 
     /// How runs ended, as the entry was told.
-    fn ends(&self) -> Vec<RunOutcome> {
-        let ends = self.actions.iter().filter_map(|action| match action {
+    fn outcomes(&self) -> Vec<RunOutcome> {
+        let outcomes = self.actions.iter().filter_map(|action| match action {
             ExecutionAction::Send {
                 frame: AgentFrame::Ended { end, .. },
                 ..
             } => Some(*end),
             _ => None,
         });
-        ends.collect()
+        outcomes.collect()
     }
 
     /// Starts a task and lets the worker answer so.
-    fn start(&mut self, job: u64, answer: StartResponse) {
-        self.frame(EntryFrame::Start(order(job)));
-        let call = self.starts().remove(0);
-        self.feed(ExecutionEvent::StartAnswered { call, answer });
+    fn start_task(&mut self, job: u64, response: StartResponse) {
+        self.send_frame(EntryFrame::Start(start_order(job)));
+        let call = self.start_calls().remove(0);
+        self.send_event(ExecutionEvent::StartAnswered { call, response });
     }
 }
 
-macro_rules! refusal_cases {
+macro_rules! rejection_cases {
     ($($(#[$doc:meta])* $name:ident: $prepare:expr => $reason:ident;)+) => {
         $(
             $(#[$doc])*
             #[test]
             fn $name() {
-                let mut bench = Bench::ready();
-                let prepare: fn(&mut Bench) = $prepare;
-                prepare(&mut bench);
-                bench.frame(EntryFrame::Start(order(1)));
-                assert_eq!(bench.ends(), [RunOutcome::NotStarted(NotStartedReason::$reason)]);
-                assert!(bench.starts().is_empty());
+                let mut test = TestExecutor::ready();
+                let prepare: fn(&mut TestExecutor) = $prepare;
+                prepare(&mut test);
+                test.send_frame(EntryFrame::Start(start_order(1)));
+                assert_eq!(test.outcomes(), [RunOutcome::NotStarted(NotStartedReason::$reason)]);
+                assert!(test.start_calls().is_empty());
             }
         )+
     };
 }
 
-refusal_cases! {
+rejection_cases! {
     /// A worker says that it ends. From the moment at which that is acknowledged it is given nothing.
-    a_draining_worker_is_given_nothing: |bench| bench.heartbeat(BORN_MS, 2, true) => Draining;
-    a_zone_that_is_out_is_given_nothing: |bench| bench.frame(EntryFrame::News(EvacuatedZones {
+    a_draining_worker_rejects_starts: |test| test.send_worker_heartbeat(BORN_MS, 2, true) => Draining;
+    an_evacuated_zone_rejects_starts: |test| test.send_frame(EntryFrame::News(EvacuatedZones {
         version: 7,
         evacuated: BTreeSet::from(["north".to_owned()]),
     })) => Evacuated;
-    a_task_has_one_run_at_a_time: |bench| bench.start(1, StartResponse::Accepted) => TaskBusy;
-    what_does_not_fit_is_refused: |bench| {
-        bench.start(2, StartResponse::Accepted);
-        bench.start(3, StartResponse::Accepted);
+    a_task_with_an_unfinished_run_is_rejected: |test| test.start_task(1, StartResponse::Accepted) => TaskBusy;
+    a_start_above_the_free_capacity_is_rejected: |test| {
+        test.start_task(2, StartResponse::Accepted);
+        test.start_task(3, StartResponse::Accepted);
     } => NoRoom;
-    an_entry_without_a_fresh_echo_starts_nothing: |bench| {
-        bench.now = bench.now.plus_ms(limits().silence_ms);
+    a_start_after_the_entry_lease_expired_is_rejected: |test| {
+        test.now = test.now.plus_ms(limits().silence_ms);
     } => RightLapsed;
-    a_process_that_is_to_end_starts_nothing: |bench| bench.feed(ExecutionEvent::Shutdown) => Draining;
+    a_start_during_shutdown_is_rejected: |test| test.send_event(ExecutionEvent::Shutdown) => Draining;
 }
 
 /// Requests for the document after beats that name the agent as a holder, or not, 200 ms apart.
-fn document_requests(named: &[bool]) -> usize {
-    let mut bench = Bench::ready();
+fn document_requests(holder_flags: &[bool]) -> usize {
+    let mut test = TestExecutor::ready();
     let mut requests = 0;
-    for is_holder in named {
-        bench.now = bench.now.plus_ms(200);
-        bench.frame(EntryFrame::Beat {
-            echo_us: bench.now.as_micros(),
+    for is_holder in holder_flags {
+        test.now = test.now.plus_ms(200);
+        test.send_frame(EntryFrame::Beat {
+            echo_us: test.now.as_micros(),
             news_version: 0,
             document_revision: 4,
             is_holder: *is_holder,
@@ -254,18 +260,18 @@
                 }
             )
         };
-        requests += bench.actions.iter().filter(is_request).count();
+        requests += test.actions.iter().filter(is_request).count();
     }
     requests
 }
 
 macro_rules! document_cases {
-    ($($(#[$doc:meta])* $name:ident: $named:expr => $requests:expr;)+) => {
+    ($($(#[$doc:meta])* $name:ident: $holder_flags:expr => $requests:expr;)+) => {
         $(
             $(#[$doc])*
             #[test]
             fn $name() {
-                assert_eq!(document_requests(&$named), $requests);
+                assert_eq!(document_requests(&$holder_flags), $requests);
             }
         )+
     };
@@ -273,97 +279,93 @@
 
 document_cases! {
     a_holder_fetches_the_document: [true, true, true, true, true] => 1;
-    an_agent_that_is_no_holder_fetches_nothing: [false, false, false, false, false] => 0;
+    an_agent_that_is_not_a_holder_does_not_fetch: [false, false, false, false, false] => 0;
     /// Guards against copies at most agents of a site that starts: each is among the first for a moment.
-    an_agent_that_is_a_holder_for_a_moment_fetches_nothing: [true, true, false, true, true] => 0;
+    a_briefly_named_holder_does_not_fetch: [true, true, false, true, true] => 0;
 }
 
 /// An entry's host is suspended. Its runs are stopped once its right has lapsed, and its session is given up, so
 /// that a copy of the job at another entry finds nothing of it at work.
 #[test]
-fn a_silent_entry_loses_its_runs() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
+fn runs_of_an_unresponsive_entry_are_stopped() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
     let mut stops = Vec::new();
     for _ in 0..limits().silence_ms / 15 {
-        bench.tick_after(15);
-        stops.push(bench.stops());
-        let closed = std::mem::take(&mut bench.actions);
-        for action in &closed {
+        test.advance(15);
+        stops.push(test.stop_count());
+        let actions = std::mem::take(&mut test.actions);
+        for action in &actions {
             if let ExecutionAction::Hold(call) = action {
-                bench.lists(call.clone(), &[run(1)], &[]);
+                test.send_run_list(call.clone(), &[run(1)], &[]);
             }
         }
-        bench.actions = closed;
+        test.actions = actions;
     }
     assert_eq!(stops.pop(), Some(1));
     assert_eq!(stops.iter().sum::<usize>(), 0);
     let closed = ExecutionAction::Close { session: SESSION };
-    assert!(bench.actions.contains(&closed));
+    assert!(test.actions.contains(&closed));
 }
 
 /// What an entry was last told of free room, in cores.
-fn told_room(bench: &Bench, to: SessionId) -> Option<u32> {
-    let mut reports = bench
-        .actions
-        .iter()
-        .rev()
-        .filter_map(|action| match action {
-            ExecutionAction::Send {
-                session,
-                frame: AgentFrame::Room(report),
-            } if *session == to => Some(report.free.cpu_milli / 1_000),
-            _ => None,
-        });
+fn reported_cores(test: &TestExecutor, recipient: SessionId) -> Option<u32> {
+    let mut reports = test.actions.iter().rev().filter_map(|action| match action {
+        ExecutionAction::Send {
+            session,
+            frame: AgentFrame::Room(report),
+        } if *session == recipient => Some(report.free.cpu_milli / 1_000),
+        _ => None,
+    });
     reports.next()
 }
 
 /// A worker of two slots that is full, and two more entries that were turned away.
-fn full_worker_with_two_waiting() -> Bench {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
-    bench.start(2, StartResponse::Accepted);
+fn full_worker_with_two_waiting_entries() -> TestExecutor {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
+    test.start_task(2, StartResponse::Accepted);
     for session in [SessionId(2), SessionId(3)] {
         let entry = format!("entry-{}", session.0);
-        bench.feed(ExecutionEvent::SessionOpened { session, entry });
-        let echo_us = bench.now.as_micros();
+        test.send_event(ExecutionEvent::SessionOpened { session, entry });
+        let echo_us = test.now.as_micros();
         let frame = EntryFrame::Beat {
             echo_us,
             news_version: 0,
             document_revision: 0,
             is_holder: false,
         };
-        bench.feed(ExecutionEvent::Frame { session, frame });
-        let frame = EntryFrame::Start(order(10 + session.0));
-        bench.feed(ExecutionEvent::Frame { session, frame });
-        assert_eq!(told_room(&bench, session), Some(0));
+        test.send_event(ExecutionEvent::Frame { session, frame });
+        let frame = EntryFrame::Start(start_order(10 + session.0));
+        test.send_event(ExecutionEvent::Frame { session, frame });
+        assert_eq!(reported_cores(&test, session), Some(0));
     }
-    bench
+    test
 }
 
 /// Of the two entries that wait, the one that was told of a slot, and the other.
-fn offered_and_other(bench: &Bench) -> (SessionId, SessionId) {
+fn reserved_and_other(test: &TestExecutor) -> (SessionId, SessionId) {
     let (one, two) = (SessionId(2), SessionId(3));
-    if told_room(bench, one) == Some(1) {
+    if reported_cores(test, one) == Some(1) {
         return (one, two);
     }
-    assert_eq!(told_room(bench, two), Some(1));
+    assert_eq!(reported_cores(test, two), Some(1));
     (two, one)
 }
 
 /// A look at the worker that was made after all others.
-fn some_look() -> HoldCall {
+fn latest_poll() -> HoldCall {
     HoldCall {
         worker: "w".to_owned(),
         sequence: 1_000,
         token: 100,
         lease_until_ms: None,
-        ends_seen: 0,
+        last_seen_end: 0,
         wait_ms: 0,
     }
 }
 
-fn end_of(job: u64) -> ListedEnd {
+fn listed_end(job: u64) -> ListedEnd {
     ListedEnd {
         sequence: job,
         task: run(job).task,
@@ -375,119 +377,118 @@
 /// More work waits at three entries than a worker can take. When a slot becomes free, one of those that were turned away is
 /// told of it, and no other that waits. All used to be told, all ordered, and all but one were turned away again.
 #[test]
-fn a_free_slot_is_offered_to_one_entry_that_waits() {
-    let mut bench = full_worker_with_two_waiting();
+fn a_free_slot_is_reserved_for_one_waiting_entry() {
+    let mut test = full_worker_with_two_waiting_entries();
     // By then a report to each of them would be due, also after they have been told of each other.
-    bench.tick_after(30);
-    bench.tick_after(30);
-    bench.lists(some_look(), &[run(2)], &[end_of(1)]);
-    let (first, other) = offered_and_other(&bench);
-    assert_eq!(told_room(&bench, other), None);
+    test.advance(30);
+    test.advance(30);
+    test.send_run_list(latest_poll(), &[run(2)], &[listed_end(1)]);
+    let (reserved, other) = reserved_and_other(&test);
+    assert_eq!(reported_cores(&test, other), None);
     // Left alone, the slot goes to the next one.
-    bench.tick_after(12);
-    assert_eq!(told_room(&bench, other), Some(1));
-    assert_eq!(told_room(&bench, first), None);
+    test.advance(12);
+    assert_eq!(reported_cores(&test, other), Some(1));
+    assert_eq!(reported_cores(&test, reserved), None);
 }
 
 /// An entry is offered a slot that it no longer needs. Its word passes the slot on at once; it used to stand idle for
 /// the length of the offer, up to a tenth of a worker's time in overload.
 #[test]
-fn a_declined_slot_is_offered_to_the_next_entry() {
-    let mut bench = full_worker_with_two_waiting();
-    bench.lists(some_look(), &[run(2)], &[end_of(1)]);
-    let (first, other) = offered_and_other(&bench);
+fn a_declined_slot_is_reserved_for_the_next_entry() {
+    let mut test = full_worker_with_two_waiting_entries();
+    test.send_run_list(latest_poll(), &[run(2)], &[listed_end(1)]);
+    let (reserved, other) = reserved_and_other(&test);
     let frame = EntryFrame::Decline;
-    let session = first;
-    bench.feed(ExecutionEvent::Frame { session, frame });
-    assert_eq!(told_room(&bench, other), Some(1));
+    let session = reserved;
+    test.send_event(ExecutionEvent::Frame { session, frame });
+    assert_eq!(reported_cores(&test, other), Some(1));
 }
 
 /// The entry that took the offered slot waits its turn behind the one that runs nothing here.
 #[test]
-fn who_has_fewest_runs_is_offered_room_first() {
-    let mut bench = full_worker_with_two_waiting();
+fn the_entry_with_the_fewest_runs_gets_a_free_slot_first() {
+    let mut test = full_worker_with_two_waiting_entries();
     // By then a report to each of them would be due, also after they have been told of each other.
-    bench.tick_after(30);
-    bench.tick_after(30);
-    bench.lists(some_look(), &[run(2)], &[end_of(1)]);
-    let (first, other) = offered_and_other(&bench);
-    let frame = EntryFrame::Start(order(12));
-    let session = first;
-    bench.feed(ExecutionEvent::Frame { session, frame });
-    assert_eq!(bench.starts().len(), 1);
-    assert_eq!(told_room(&bench, first), Some(0));
-    bench.tick_after(30);
-    bench.lists(some_look(), &[run(12)], &[end_of(2)]);
-    assert_eq!(told_room(&bench, other), Some(1));
-    assert_eq!(told_room(&bench, first), None);
+    test.advance(30);
+    test.advance(30);
+    test.send_run_list(latest_poll(), &[run(2)], &[listed_end(1)]);
+    let (reserved, other) = reserved_and_other(&test);
+    let frame = EntryFrame::Start(start_order(12));
+    let session = reserved;
+    test.send_event(ExecutionEvent::Frame { session, frame });
+    assert_eq!(test.start_calls().len(), 1);
+    assert_eq!(reported_cores(&test, reserved), Some(0));
+    test.advance(30);
+    test.send_run_list(latest_poll(), &[run(12)], &[listed_end(2)]);
+    assert_eq!(reported_cores(&test, other), Some(1));
+    assert_eq!(reported_cores(&test, reserved), None);
 }
 
 /// The list of entries loses an entry and has it again while its session lives, and the agent dials it a second time. The
 /// hello of the second session told the entry that nothing of the first runs here: it started its tasks
 /// elsewhere, and for some tens of milliseconds they had two runs.
 #[test]
-fn an_entry_has_one_session_at_a_time() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
+fn a_second_session_of_an_entry_is_closed() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
     let second = SessionId(2);
-    let opens = || ExecutionEvent::SessionOpened {
+    let open_second = || ExecutionEvent::SessionOpened {
         session: second,
         entry: "entry".to_owned(),
     };
     let is_hello = |action: &ExecutionAction| matches!(action, ExecutionAction::Send { session, frame: AgentFrame::Hello { .. } } if *session == second);
-    bench.feed(opens());
-    assert!(!bench.actions.iter().any(is_hello));
+    test.send_event(open_second());
+    assert!(!test.actions.iter().any(is_hello));
     assert!(
-        bench
-            .actions
+        test.actions
             .contains(&ExecutionAction::Close { session: second })
     );
     // Nor while the first one's run is not over.
     let session = SESSION;
-    bench.feed(ExecutionEvent::SessionLost { session });
-    bench.feed(opens());
-    assert!(!bench.actions.iter().any(is_hello));
+    test.send_event(ExecutionEvent::SessionLost { session });
+    test.send_event(open_second());
+    assert!(!test.actions.iter().any(is_hello));
 }
 
 /// Two looks at a worker are under way. The later one tells a run's end, and the earlier one, whose answer was overtaken, still
 /// lists the run. It used to be taken for a run that nobody started, and was stopped and noted, twenty
 /// times a second on a busy site.
 #[test]
-fn lists_that_were_overtaken_tell_no_stray_runs() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
-    bench.tick_after(120);
-    let earlier = bench.holds().remove(0);
+fn a_stale_run_list_stops_no_runs() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
+    test.advance(120);
+    let earlier = test.hold_calls().remove(0);
     let ended = ListedEnd {
         sequence: 1,
         task: run(1).task,
         number: 1,
         end: RunOutcome::Done,
     };
-    bench.lists_at(1_121, earlier.clone(), &[], &[ended]);
-    assert_eq!(bench.ends(), [RunOutcome::Done]);
-    bench.lists_at(1_120, earlier.clone(), &[run(1)], &[]);
-    assert_eq!(bench.stops(), 0);
+    test.send_run_list_at(1_121, earlier.clone(), &[], &[ended]);
+    assert_eq!(test.outcomes(), [RunOutcome::Done]);
+    test.send_run_list_at(1_120, earlier.clone(), &[run(1)], &[]);
+    assert_eq!(test.stop_count(), 0);
     // A list that is as new tells of a run that really goes on.
-    bench.lists_at(1_121, earlier, &[run(1)], &[]);
-    assert_eq!(bench.stops(), 1);
+    test.send_run_list_at(1_121, earlier, &[run(1)], &[]);
+    assert_eq!(test.stop_count(), 1);
 }
 
 /// Bytes of an entry are held up for seconds and then arrive at once. The echo in them is old and gives no right.
 #[test]
-fn an_old_echo_gives_no_right() {
-    let mut bench = Bench::ready();
-    let echo_us = bench.now.as_micros();
-    bench.now = bench.now.plus_ms(3_000);
-    bench.frame(EntryFrame::Beat {
+fn an_old_echo_does_not_extend_the_lease() {
+    let mut test = TestExecutor::ready();
+    let echo_us = test.now.as_micros();
+    test.now = test.now.plus_ms(3_000);
+    test.send_frame(EntryFrame::Beat {
         echo_us,
         news_version: 0,
         document_revision: 0,
         is_holder: false,
     });
-    bench.frame(EntryFrame::Start(order(1)));
+    test.send_frame(EntryFrame::Start(start_order(1)));
     assert_eq!(
-        bench.ends(),
+        test.outcomes(),
         [RunOutcome::NotStarted(NotStartedReason::RightLapsed)]
     );
 }
@@ -495,133 +496,133 @@
 /// A start is not answered. It may be carried out seconds later, so the task is not given back before
 /// the worker has taken a higher token; then its lists tell.
 #[test]
-fn an_unanswered_start_is_settled_under_a_higher_token() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Unanswered);
-    assert!(bench.ends().is_empty());
-    let look = bench.holds().remove(0);
-    assert_eq!(look.token, 101);
-    bench.lists(look, &[], &[]);
+fn an_unanswered_start_is_resolved_under_a_higher_token() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Unanswered);
+    assert!(test.outcomes().is_empty());
+    let poll = test.hold_calls().remove(0);
+    assert_eq!(poll.token, 101);
+    test.send_run_list(poll, &[], &[]);
     assert_eq!(
-        bench.ends(),
+        test.outcomes(),
         [RunOutcome::NotStarted(NotStartedReason::OrderLost)]
     );
 }
 
 #[test]
-fn an_unanswered_start_that_is_listed_goes_on() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Unanswered);
-    let look = bench.holds().remove(0);
-    bench.lists(look, &[run(1)], &[]);
-    assert!(bench.ends().is_empty());
-    assert_eq!(bench.executor.run_count(), 1);
+fn an_unanswered_start_that_is_listed_keeps_running() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Unanswered);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll, &[run(1)], &[]);
+    assert!(test.outcomes().is_empty());
+    assert_eq!(test.executor.run_count(), 1);
 }
 
 /// A run of the task had ended at this worker for another entry. The number is used, and the next one is taken.
 #[test]
-fn a_used_number_is_raised() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::NumberUsed);
-    assert_eq!(bench.starts()[0].number, 2);
+fn a_used_run_number_is_incremented() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::NumberUsed);
+    assert_eq!(test.start_calls()[0].number, 2);
 }
 
 /// All agents of a site are killed and start again at once, while their workers live on and report every second and a half. What
 /// an earlier process has kept is enough to look at the worker, so tasks start there some milliseconds later, not with its next
 /// report. If none comes, the worker may have said to the earlier process that it ends, and is given nothing more.
 #[test]
-fn a_worker_that_is_recalled_is_used_before_it_reports() {
-    let mut bench = Bench::without_worker();
-    bench.feed(ExecutionEvent::WorkerRestored {
+fn a_restored_worker_is_used_before_it_reports() {
+    let mut test = TestExecutor::without_worker();
+    test.send_event(ExecutionEvent::WorkerRestored {
         view: view(BORN_MS, false),
     });
-    let look = bench.holds().remove(0);
-    bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
-    bench.open_session();
-    bench.beat();
-    bench.frame(EntryFrame::Start(order(1)));
-    assert_eq!(bench.starts().len(), 1);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll, &[], &[]);
+    assert!(test.actions.contains(&ExecutionAction::StaleRunsStopped));
+    test.open_session();
+    test.send_entry_heartbeat();
+    test.send_frame(EntryFrame::Start(start_order(1)));
+    assert_eq!(test.start_calls().len(), 1);
     for _ in 0..30 {
-        bench.tick_after(100);
-        for look in bench.holds() {
-            bench.lists(look, &[], &[]);
+        test.advance(100);
+        for poll in test.hold_calls() {
+            test.send_run_list(poll, &[], &[]);
         }
     }
-    bench.open_session_of("other entry", SessionId(2));
-    let offered = bench.actions.iter().find_map(|action| match action {
+    test.open_session_of("other entry", SessionId(2));
+    let announced = test.actions.iter().find_map(|action| match action {
         ExecutionAction::Send {
             frame: AgentFrame::Worker(view),
             ..
         } => view.clone(),
         _ => None,
     });
-    assert!(offered.is_some_and(|view| view.draining));
+    assert!(announced.is_some_and(|view| view.draining));
 }
 
 /// The worker was replaced while no agent was at work. It rejects the look that was meant for the one before, which is
 /// never offered; its own report is waited for.
 #[test]
-fn a_recalled_worker_that_is_gone_is_not_offered() {
-    let mut bench = Bench::without_worker();
-    bench.feed(ExecutionEvent::WorkerRestored {
+fn a_restored_worker_that_was_replaced_is_not_announced() {
+    let mut test = TestExecutor::without_worker();
+    test.send_event(ExecutionEvent::WorkerRestored {
         view: view(BORN_MS - 1, false),
     });
-    let call = bench.holds().remove(0);
-    let answer = HoldResponse::OtherWorker;
-    bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-    assert!(!bench.actions.contains(&ExecutionAction::StaleRunsStopped));
-    bench.heartbeat(BORN_MS, 1, false);
-    let look = bench.holds().remove(0);
-    bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
+    let call = test.hold_calls().remove(0);
+    let response = HoldResponse::OtherWorker;
+    test.send_event(ExecutionEvent::HoldAnswered { call, response });
+    assert!(!test.actions.contains(&ExecutionAction::StaleRunsStopped));
+    test.send_worker_heartbeat(BORN_MS, 1, false);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll, &[], &[]);
+    assert!(test.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
 /// What the worker says of itself is kept when it changes, not with each report.
 #[test]
-fn a_worker_is_kept_when_it_changes() {
-    let mut bench = Bench::ready();
-    let is_kept = |bench: &Bench| {
-        let mut actions = bench.actions.iter();
+fn a_worker_view_is_persisted_only_when_it_changes() {
+    let mut test = TestExecutor::ready();
+    let is_persisted = |test: &TestExecutor| {
+        let mut actions = test.actions.iter();
         actions.any(|action| matches!(action, ExecutionAction::PersistWorker(_)))
     };
-    bench.heartbeat(BORN_MS, 2, false);
-    assert!(!is_kept(&bench));
-    bench.heartbeat(BORN_MS, 3, true);
-    assert!(is_kept(&bench));
+    test.send_worker_heartbeat(BORN_MS, 2, false);
+    assert!(!is_persisted(&test));
+    test.send_worker_heartbeat(BORN_MS, 3, true);
+    assert!(is_persisted(&test));
 }
 
 /// An agent is killed and starts again. What its earlier process had started is still at work at the worker: it is
 /// stopped before the worker is offered.
 #[test]
-fn runs_of_an_earlier_process_are_stopped_first() {
-    let settings = Bench::ready().executor.settings.clone();
-    let mut bench = Bench {
+fn runs_of_an_earlier_agent_process_are_stopped_before_the_worker_is_ready() {
+    let settings = TestExecutor::ready().executor.settings.clone();
+    let mut test = TestExecutor {
         executor: Executor::new(settings),
         now: Instant::from_millis(10_000),
         actions: Vec::new(),
     };
-    bench.heartbeat(BORN_MS, 9, false);
-    let look = bench.holds().remove(0);
-    bench.lists(look, &[run(8)], &[]);
-    assert_eq!(bench.stops(), 1);
-    assert!(!bench.actions.contains(&ExecutionAction::StaleRunsStopped));
-    bench.tick_after(100);
-    let look = bench.holds().remove(0);
-    bench.lists(look, &[], &[]);
-    assert!(bench.actions.contains(&ExecutionAction::StaleRunsStopped));
+    test.send_worker_heartbeat(BORN_MS, 9, false);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll, &[run(8)], &[]);
+    assert_eq!(test.stop_count(), 1);
+    assert!(!test.actions.contains(&ExecutionAction::StaleRunsStopped));
+    test.advance(100);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll, &[], &[]);
+    assert!(test.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
 /// A worker begins anew under its name and takes a start; its report of that comes late. The run is not
 /// given back as lost with the life before, since it is at work.
 #[test]
-fn a_run_in_a_life_that_is_told_of_late_goes_on() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
-    bench.heartbeat(BORN_MS + 500, 1, false);
-    assert!(bench.ends().is_empty());
-    let call = bench.holds().remove(0);
-    let answer = HoldResponse::Lists {
+fn a_run_started_before_the_restart_is_reported_keeps_running() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
+    test.send_worker_heartbeat(BORN_MS + 500, 1, false);
+    assert!(test.outcomes().is_empty());
+    let call = test.hold_calls().remove(0);
+    let response = HoldResponse::RunList {
         born_unix_ms: Some(BORN_MS + 500),
         clock_ms: 40,
         running: vec![ListedRun {
@@ -630,122 +631,122 @@
         }],
         ended: Vec::new(),
     };
-    bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-    assert!(bench.ends().is_empty());
-    assert_eq!(bench.executor.run_count(), 1);
+    test.send_event(ExecutionEvent::HoldAnswered { call, response });
+    assert!(test.outcomes().is_empty());
+    assert_eq!(test.executor.run_count(), 1);
 }
 
 /// A report of an earlier life comes after that of the present one. It names no worker to use.
 #[test]
-fn a_late_report_of_an_earlier_life_changes_nothing() {
-    let mut bench = Bench::ready();
-    bench.heartbeat(BORN_MS - 1, 99, true);
-    bench.start(1, StartResponse::Accepted);
-    assert!(bench.ends().is_empty());
+fn a_late_report_of_an_earlier_incarnation_is_ignored() {
+    let mut test = TestExecutor::ready();
+    test.send_worker_heartbeat(BORN_MS - 1, 99, true);
+    test.start_task(1, StartResponse::Accepted);
+    assert!(test.outcomes().is_empty());
 }
 
 /// A worker's process is gone, and connections to it are refused at once. Each refusal was answered with
 /// another call, thousands a second; and the worker was offered on, as long as nothing ran there.
 #[test]
 fn a_worker_that_refuses_connections_is_not_called_in_a_loop() {
-    let mut bench = Bench::ready();
+    let mut test = TestExecutor::ready();
     // The watch that the worker was given first is over by then.
-    bench.tick_after(2_000);
-    let mut waiting: Vec<HoldCall> = bench.holds();
+    test.advance(2_000);
+    let mut pending: Vec<HoldCall> = test.hold_calls();
     let mut calls = 0;
     for _ in 0..100 {
-        while let Some(call) = waiting.pop().filter(|_| calls < 1_000) {
+        while let Some(call) = pending.pop().filter(|_| calls < 1_000) {
             calls += 1;
-            let answer = HoldResponse::Unanswered;
-            bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-            waiting.extend(bench.holds());
+            let response = HoldResponse::Unanswered;
+            test.send_event(ExecutionEvent::HoldAnswered { call, response });
+            pending.extend(test.hold_calls());
         }
-        bench.tick_after(20);
-        waiting.extend(bench.holds());
+        test.advance(20);
+        pending.extend(test.hold_calls());
     }
     assert!(calls <= 25, "{calls} calls in two seconds");
-    bench.frame(EntryFrame::Start(order(1)));
-    assert!(bench.starts().is_empty());
+    test.send_frame(EntryFrame::Start(start_order(1)));
+    assert!(test.start_calls().is_empty());
 }
 
 /// A worker does not answer, and tasks run there. They are given back only when its lease is certainly over.
 #[test]
-fn runs_of_a_silent_worker_are_lost_with_its_lease() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
+fn runs_of_an_unresponsive_worker_are_lost_when_its_lease_expires() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
     let mut waited_ms = 0;
-    while bench.ends().is_empty() {
-        bench.tick_after(20);
-        bench.beat_quietly();
+    while test.outcomes().is_empty() {
+        test.advance(20);
+        test.renew_entry_lease();
         waited_ms += 20;
-        for call in bench.holds() {
-            let answer = HoldResponse::Unanswered;
-            let kept = std::mem::take(&mut bench.actions);
-            bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-            bench.actions.extend(kept);
+        for call in test.hold_calls() {
+            let response = HoldResponse::Unanswered;
+            let earlier_actions = std::mem::take(&mut test.actions);
+            test.send_event(ExecutionEvent::HoldAnswered { call, response });
+            test.actions.extend(earlier_actions);
         }
         assert!(waited_ms < 2_000);
     }
-    assert_eq!(bench.ends(), [RunOutcome::Lost]);
+    assert_eq!(test.outcomes(), [RunOutcome::Lost]);
     assert!(waited_ms >= 2 * limits().lease_ms - 100, "{waited_ms}");
 }
 
-impl Bench {
+impl TestExecutor {
     /// Keeps the entry's right without forgetting the actions that are looked at.
-    fn beat_quietly(&mut self) {
-        let kept = std::mem::take(&mut self.actions);
-        self.beat();
-        self.actions.extend(kept);
+    fn renew_entry_lease(&mut self) {
+        let earlier_actions = std::mem::take(&mut self.actions);
+        self.send_entry_heartbeat();
+        self.actions.extend(earlier_actions);
     }
 }
 
 #[test]
-fn an_end_is_told_once() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Accepted);
+fn an_outcome_is_reported_once() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Accepted);
     let end = ListedEnd {
         sequence: 1,
         task: run(1).task,
         number: 1,
         end: RunOutcome::Done,
     };
-    bench.tick_after(150);
-    let look = bench.holds().remove(0);
-    bench.lists(look.clone(), &[], &[end]);
-    assert_eq!(bench.ends(), [RunOutcome::Done]);
-    bench.lists(look, &[], &[end]);
-    assert!(bench.ends().is_empty());
+    test.advance(150);
+    let poll = test.hold_calls().remove(0);
+    test.send_run_list(poll.clone(), &[], &[end]);
+    assert_eq!(test.outcomes(), [RunOutcome::Done]);
+    test.send_run_list(poll, &[], &[end]);
+    assert!(test.outcomes().is_empty());
 }
 
 /// A start is under way when its worker's host loses power: the task began, the answer never came, and the worker
 /// that comes next lists nothing. The client was told "not run", which was false.
 #[test]
-fn an_order_that_its_worker_may_have_begun_is_not_called_not_started() {
-    let mut bench = Bench::ready();
-    bench.frame(EntryFrame::Start(order(1)));
-    bench.heartbeat(BORN_MS + 500, 1, false);
-    let call = bench.holds().remove(0);
-    let answer = HoldResponse::Lists {
+fn a_start_that_a_restarted_worker_may_have_run_is_lost() {
+    let mut test = TestExecutor::ready();
+    test.send_frame(EntryFrame::Start(start_order(1)));
+    test.send_worker_heartbeat(BORN_MS + 500, 1, false);
+    let call = test.hold_calls().remove(0);
+    let response = HoldResponse::RunList {
         born_unix_ms: Some(BORN_MS + 500),
         clock_ms: 40,
         running: Vec::new(),
         ended: Vec::new(),
     };
-    bench.feed(ExecutionEvent::HoldAnswered { call, answer });
-    assert_eq!(bench.ends(), [RunOutcome::Lost]);
+    test.send_event(ExecutionEvent::HoldAnswered { call, response });
+    assert_eq!(test.outcomes(), [RunOutcome::Lost]);
 }
 
 /// The same where the worker stays silent until its lease is over.
 #[test]
-fn an_order_to_a_worker_that_fell_silent_may_have_run() {
-    let mut bench = Bench::ready();
-    bench.start(1, StartResponse::Unanswered);
+fn an_unanswered_start_at_an_unresponsive_worker_is_lost() {
+    let mut test = TestExecutor::ready();
+    test.start_task(1, StartResponse::Unanswered);
     for _ in 0..100 {
-        if !bench.ends().is_empty() {
+        if !test.outcomes().is_empty() {
             break;
         }
-        bench.tick_after(20);
-        bench.beat_quietly();
+        test.advance(20);
+        test.renew_entry_lease();
     }
-    assert_eq!(bench.ends(), [RunOutcome::Lost]);
+    assert_eq!(test.outcomes(), [RunOutcome::Lost]);
 }
--- a/src/core/execution/worker_state.rs
+++ b/src/core/execution/worker_state.rs
@@ -19,25 +19,25 @@
     /// Number of its last report.
     pub(super) report_sequence: u64,
     /// When word of it came from an earlier process; `None` once it has reported to this one.
-    pub(super) recalled_at: Option<Instant>,
+    pub(super) restored_at: Option<Instant>,
     /// Its clock; unknown until its first list.
     pub(super) clock: Option<ClockReading>,
     /// Newest end that was taken in.
-    pub(super) ends_seen: u64,
+    pub(super) last_seen_end: u64,
     /// Nothing runs there that nobody here started.
     pub(super) ready: bool,
     /// When it last answered a call.
-    pub(super) answered_at: Instant,
+    pub(super) last_response_at: Instant,
     /// When its lease is over, on this process's clock and at the latest.
-    pub(super) lease_over_at: Instant,
+    pub(super) lease_expires_at: Instant,
     /// When its lease was last renewed or tried to be.
     pub(super) renewed_at: Option<Instant>,
     /// A hold that waits for ends is under way since then.
-    pub(super) watching_since: Option<Instant>,
+    pub(super) long_poll_since: Option<Instant>,
     /// Looks without an answer since its last one.
-    pub(super) unanswered: u32,
+    pub(super) failed_polls: u32,
     /// No look is made before then.
-    pub(super) look_again_at: Instant,
+    pub(super) next_poll_at: Instant,
 }
 
 impl WorkerState {
@@ -46,16 +46,16 @@
         Self {
             view,
             report_sequence,
-            recalled_at: None,
+            restored_at: None,
             clock: None,
-            ends_seen: 0,
+            last_seen_end: 0,
             ready: false,
-            answered_at: now,
-            lease_over_at: now,
+            last_response_at: now,
+            lease_expires_at: now,
             renewed_at: None,
-            watching_since: None,
-            unanswered: 0,
-            look_again_at: now,
+            long_poll_since: None,
+            failed_polls: 0,
+            next_poll_at: now,
         }
     }
 }
--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -744,8 +744,8 @@
         let event = if self.alive[worker] {
             match action {
                 ExecutionAction::Start(call) => {
-                    let answer = self.start_at_worker(worker, &call);
-                    ExecutionEvent::StartAnswered { call, answer }
+                    let response = self.start_at_worker(worker, &call);
+                    ExecutionEvent::StartAnswered { call, response }
                 }
                 ExecutionAction::Stop(call) => {
                     let meant = call.worker == self.workers[worker].life.id;
@@ -753,12 +753,12 @@
                     ExecutionEvent::StopAnswered { call, confirmed }
                 }
                 ExecutionAction::Hold(call) => {
-                    let answer = if call.worker == self.workers[worker].life.id {
+                    let response = if call.worker == self.workers[worker].life.id {
                         self.workers[worker].hold(now, &call)
                     } else {
                         HoldResponse::OtherWorker
                     };
-                    ExecutionEvent::HoldAnswered { call, answer }
+                    ExecutionEvent::HoldAnswered { call, response }
                 }
                 _ => return,
             }
@@ -1195,7 +1195,7 @@
     match action.clone_call() {
         ExecutionAction::Start(call) => ExecutionEvent::StartAnswered {
             call,
-            answer: StartResponse::Unanswered,
+            response: StartResponse::Unanswered,
         },
         ExecutionAction::Stop(call) => ExecutionEvent::StopAnswered {
             call,
@@ -1203,7 +1203,7 @@
         },
         ExecutionAction::Hold(call) => ExecutionEvent::HoldAnswered {
             call,
-            answer: HoldResponse::Unanswered,
+            response: HoldResponse::Unanswered,
         },
         _ => ExecutionEvent::Tick,
     }
--- a/src/platform/worker_calls.rs
+++ b/src/platform/worker_calls.rs
@@ -168,7 +168,7 @@
         let body = HoldBody {
             deadline_ms: call.lease_until_ms,
             fencing_token: call.token,
-            last_seen: call.ends_seen,
+            last_seen: call.last_seen_end,
             wait_ms: call.wait_ms,
         };
         let timeout_ms = call.wait_ms + HOLD_SLACK_MS;
@@ -230,7 +230,7 @@
             return HoldResponse::Unanswered;
         }
     };
-    HoldResponse::Lists {
+    HoldResponse::RunList {
         born_unix_ms: body.born,
         clock_ms: body.clock_ms,
         running: body
--- a/src/site_agent/execution_loop.rs
+++ b/src/site_agent/execution_loop.rs
@@ -140,8 +140,8 @@
             ExecutionAction::Start(call) => {
                 self.metrics.count(Counter::Starts, "ordered");
                 self.call(async |worker| {
-                    let answer = worker.start(&call).await;
-                    ExecutionEvent::StartAnswered { call, answer }
+                    let response = worker.start(&call).await;
+                    ExecutionEvent::StartAnswered { call, response }
                 });
             }
             ExecutionAction::Stop(call) => self.call(async |worker| {
@@ -149,8 +149,8 @@
                 ExecutionEvent::StopAnswered { call, confirmed }
             }),
             ExecutionAction::Hold(call) => self.call(async |worker| {
-                let answer = worker.hold(&call).await;
-                ExecutionEvent::HoldAnswered { call, answer }
+                let response = worker.hold(&call).await;
+                ExecutionEvent::HoldAnswered { call, response }
             }),
             ExecutionAction::Log(decision) => self.write_down(&decision),
         }
--- a/src/standin/site_worker.rs
+++ b/src/standin/site_worker.rs
@@ -289,14 +289,14 @@
             sequence: 0,
             worker: self.args.id.clone(),
             token: body.fencing_token,
-            ends_seen: body.last_seen,
+            last_seen_end: body.last_seen,
             lease_until_ms: body.deadline_ms,
             wait_ms: body.wait_ms,
         };
         loop {
             self.tell_changes();
             let answer = self.model().hold(BootTimer.now(), &call);
-            let HoldResponse::Lists {
+            let HoldResponse::RunList {
                 clock_ms,
                 running,
                 ended,
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -202,8 +202,8 @@
         if let Some(until_ms) = call.lease_until_ms {
             self.extend(now, until_ms);
         }
-        self.ended.retain(|end| end.sequence > call.ends_seen);
-        HoldResponse::Lists {
+        self.ended.retain(|end| end.sequence > call.last_seen_end);
+        HoldResponse::RunList {
             born_unix_ms: Some(self.life.born_unix_ms),
             clock_ms: self.clock_ms(now),
             running: self
