--- a/src/core/execution/capacity.rs
+++ b/src/core/execution/capacity.rs
@@ -1,4 +1,4 @@
-//! Which entry is told of free room, and when.
+//! Reports of free capacity to entries, and its reservation for one entry at a time.
 
 use {
     super::{ExecutionAction, Executor, SessionId},
@@ -9,48 +9,48 @@
     },
 };
 
-/// Least pause between reports of free room that nobody waits for, in milliseconds.
+/// Minimum time between capacity reports that no entry is waiting for, in milliseconds.
 ///
-/// A task runs 50 ms or more, so a figure of this age is off by less than one task in two; shorter
-/// pauses cost a message for each start and entry.
+/// Tasks run for 50 ms or more, so a figure this old is off by less than one task in two. A shorter
+/// interval costs one message per start and entry.
 const REPORT_INTERVAL_MS: u64 = 20;
-/// Time for which room is offered to one entry alone, in milliseconds: an order comes within a round trip
-/// of two to six, and a slot that is offered in vain is idle no longer than a fifth of a short task.
+/// Time for which free capacity is reserved for one entry, in milliseconds.
+///
+/// Longer than a round trip of 2 to 6 ms; an unused reservation leaves a slot idle for at most a
+/// fifth of a short task.
 const RESERVATION_MS: u64 = 10;
 
-/// Time after which a wish that was not repeated is forgotten, in milliseconds: its task runs elsewhere by then,
-/// or was given up, and the entry may have smaller ones that fit.
+/// Time after which a capacity request that was not renewed expires, in milliseconds.
+///
+/// By then its task runs elsewhere or was cancelled, and the entry may have smaller tasks that fit.
 const REQUEST_EXPIRY_MS: u64 = 500;
 
-/// What an entry was turned away with.
+/// Capacity that an entry asked for and did not get.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CapacityRequest {
-    /// The least of it.
+    /// The smallest request that was rejected.
     needs: Resources,
-    /// When the entry was last turned away or served.
+    /// When a start of the entry was last rejected or accepted.
     renewed_at: Instant,
 }
 
-/// What one entry was told of the worker's room.
+/// Capacity last reported to one entry.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportedCapacity {
-    /// The newest report.
     pub(super) reported: Option<CapacityReport>,
-    /// When it was made.
     pub(super) reported_at: Instant,
-    /// A run of the entry's was ordered, refused or has ended since.
+    /// A run of this entry was started, rejected or finished since the last report.
     pub(super) due: bool,
-    /// What the entry still wants room for.
+    /// Capacity that the entry is waiting for.
     request: Option<CapacityRequest>,
 }
 
 impl ReportedCapacity {
-    /// Whether the entry waits for room of which there is enough.
+    /// Whether the entry has an open request that fits into the free capacity.
     fn waits_for(&self, free: Resources) -> bool {
         self.request.is_some_and(|request| request.needs.fits(free))
     }
 
-    /// An entry that was told nothing.
     pub(super) const fn new(now: Instant) -> Self {
         Self {
             reported: None,
@@ -61,17 +61,17 @@
     }
 }
 
-/// Room that is offered to one entry alone.
+/// Free capacity that is reported to one waiting entry only.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CapacityReservation {
     session: SessionId,
     since: Instant,
-    /// Orders that the entry had sent when the offer was made.
+    /// Start orders received from the entry when the reservation was made.
     starts_seen: u32,
 }
 
 impl Executor {
-    /// Notes that an entry has work which found no room.
+    /// Records that a start of this entry did not fit.
     pub(super) fn record_request(&mut self, now: Instant, session: SessionId, needs: Resources) {
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
@@ -86,7 +86,8 @@
         });
     }
 
-    /// Notes that an entry has nothing more to start here: what was offered to it goes to the next one at once.
+    /// Clears the entry's request and releases its reservation, so that the next entry gets it at
+    /// once.
     pub(super) fn clear_request(&mut self, session: SessionId) {
         if let Some(link) = self.sessions.get_mut(&session) {
             link.capacity.request = None;
@@ -109,13 +110,12 @@
         }
     }
 
-    /// Tells entries what is free for them.
+    /// Reports free capacity to entries.
     ///
-    /// Load that this answers: more work than a site can take at once, waiting at several entries. Were all
-    /// told of each slot that becomes free, all would order it and all but one be turned away, five
-    /// thousand times a second at eight entries. So an entry that was turned away is told of room when it is its
-    /// turn, the one with the fewest runs here first, and none of those that wait is told at the same
-    /// time. An entry that was not turned away hears what is free as on a calm day.
+    /// If all waiting entries learned of each free slot, all would send a start for it and all but
+    /// one would be rejected. So free capacity is reserved for one waiting entry at a time, the one
+    /// with the fewest runs here first; the other waiting entries see none. Entries that are not
+    /// waiting see all of it.
     pub(super) fn report_capacity(&mut self, now: Instant) {
         let free = match self.worker.as_ref() {
             Some(worker) if worker.ready => self.free(),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Ends an offer that was taken up, that can't be any more, or that was left alone.
+    /// Releases a reservation that was used, has expired or no longer fits.
     fn release_reservation(&mut self, now: Instant, free: Resources) {
         let Some(reservation) = self.reservation else {
             return;
--- a/src/core/execution/documents.rs
+++ b/src/core/execution/documents.rs
@@ -1,4 +1,4 @@
-//! The operators' document, which an agent may hold for entries that do not reach the store.
+//! Replication of the operators' document to agents, for entries that cannot reach the store.
 
 use {
     super::{ExecutionLogEvent, Executor, SessionId},
@@ -9,14 +9,15 @@
     },
 };
 
-/// Time for which an entry names this agent as a holder before it fetches the document, in milliseconds.
+/// Time for which an entry must name this agent as a holder before it fetches the document, in
+/// milliseconds.
 ///
-/// Guards against copies at most agents of a site that starts: an entry names the first agents that it has met, and
-/// meets others a moment later.
+/// While a site starts, an entry briefly names the first agents that connect; the delay keeps them
+/// from all fetching a copy.
 const HOLDER_FETCH_DELAY_MS: u64 = 500;
 
 impl Executor {
-    /// Fetches the document from an entry that holds a newer one and names this agent as a holder.
+    /// Fetches the document if the entry has a newer revision and names this agent as a holder.
     pub(super) fn on_document_revision(
         &mut self,
         now: Instant,
--- a/src/core/execution/execution_event.rs
+++ b/src/core/execution/execution_event.rs
@@ -1,4 +1,4 @@
-//! What goes into the executor and what comes out.
+//! Events and actions of the executor, and its calls to the worker.
 
 use {
     super::ExecutionLogEvent,
@@ -9,218 +9,185 @@
     std::sync::Arc,
 };
 
-/// Names one session of this process with an entry.
+/// Identifies a session with an entry, unique in this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SessionId(pub(crate) u64);
 
-/// A call that tells the worker to start a task.
+/// Call that starts a task on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct StartCall {
-    /// Name of the worker that it is meant for.
+    /// Name of the worker that the call is addressed to.
     pub(crate) worker: String,
-    /// The task.
     pub(crate) task: TaskId,
-    /// Number of the run, as the worker counts.
+    /// Run number at the worker.
     pub(crate) number: u32,
-    /// The job's text for the worker.
+    /// Job specification, passed to the worker unchanged.
     pub(crate) spec: Arc<str>,
     /// End of the lease on the worker's clock, in milliseconds.
     pub(crate) lease_until_ms: u64,
-    /// Fencing token.
     pub(crate) token: u64,
 }
 
-/// A call that tells the worker to stop a run.
+/// Call that stops a run on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct StopCall {
-    /// Name of the worker that it is meant for.
+    /// Name of the worker that the call is addressed to.
     pub(crate) worker: String,
-    /// The task.
     pub(crate) task: TaskId,
-    /// Number of the run, as the worker counts.
+    /// Run number at the worker.
     pub(crate) number: u32,
-    /// Fencing token.
     pub(crate) token: u64,
 }
 
-/// A call that asks the worker what runs and what has ended, and may renew its lease.
+/// Call that requests the worker's run list and may renew its lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct HoldCall {
-    /// Number of this call; later calls have higher ones.
+    /// Sequence number of the call, ascending.
     pub(crate) sequence: u64,
-    /// Name of the worker that it is meant for.
+    /// Name of the worker that the call is addressed to.
     pub(crate) worker: String,
-    /// Fencing token.
     pub(crate) token: u64,
-    /// Number of the newest end that was taken in.
+    /// Sequence number of the newest [`ListedEnd`] that was applied.
     pub(crate) last_seen_end: u64,
-    /// New end of the lease on the worker's clock, in milliseconds; none to leave it.
+    /// New end of the lease on the worker's clock, in milliseconds; `None` leaves it unchanged.
     pub(crate) lease_until_ms: Option<u64>,
-    /// Longest time that the worker may wait for an end before it answers; zero to answer at once.
+    /// Maximum time that the worker may wait for a run to finish before it responds, in
+    /// milliseconds; zero for an immediate response.
     pub(crate) wait_ms: u64,
 }
 
-/// What the worker answered to a start.
+/// The worker's response to a start call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartResponse {
-    /// The run is there.
+    /// The run was started, now or by an earlier call.
     Accepted,
-    /// A higher fencing token was seen; nothing was done.
+    /// The worker has seen a higher fencing token; nothing was started.
     Fenced,
-    /// A run with this or a higher number ended there; nothing was done.
+    /// A run of the task with this or a higher number has finished; nothing was started.
     NumberUsed,
-    /// The order's lease was over on arrival; nothing was done.
+    /// The lease had expired when the call arrived; nothing was started.
     Late,
-    /// No room; nothing was done.
+    /// No free capacity; nothing was started.
     NoRoom,
-    /// The worker is unhealthy; nothing was done.
+    /// The worker is unhealthy; nothing was started.
     Unhealthy,
-    /// Rejected for another reason; nothing was done.
+    /// Rejected for another reason; nothing was started.
     Rejected,
-    /// No answer: the order may have been carried out, or may be later.
+    /// No response: the worker may have started the run or may still start it.
     Unanswered,
 }
 
-/// A run that the worker lists.
+/// A running task in the worker's run list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ListedRun {
-    /// The task.
     pub(crate) task: TaskId,
-    /// Number of the run.
     pub(crate) number: u32,
 }
 
-/// An end that the worker lists.
+/// A finished run in the worker's run list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ListedEnd {
-    /// Number of the end, rising in one life of the worker.
+    /// Sequence number, ascending within one incarnation of the worker.
     pub(crate) sequence: u64,
-    /// The task.
     pub(crate) task: TaskId,
-    /// Number of the run.
     pub(crate) number: u32,
-    /// How it ended.
     pub(crate) end: RunOutcome,
 }
 
-/// What the worker answered to a hold.
+/// The worker's response to a hold call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum HoldResponse {
-    /// Its lists.
+    /// Running tasks and finished runs.
     RunList {
-        /// When this life of the worker began, if it says so.
+        /// Start time of the worker's incarnation, if the worker sends it.
         born_unix_ms: Option<u64>,
-        /// Its clock, in milliseconds.
+        /// The worker's clock, in milliseconds.
         clock_ms: u64,
-        /// What runs.
         running: Vec<ListedRun>,
-        /// What has ended.
         ended: Vec<ListedEnd>,
     },
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// It is not the worker that was meant.
+    /// The call reached a worker of another name.
     OtherWorker,
-    /// No answer.
+    /// No response.
     Unanswered,
 }
 
-/// Something that the executor has to react to.
+/// Input of the executor.
 #[derive(Debug)]
 pub(crate) enum ExecutionEvent {
-    /// A session with an entry is open; its hello is still to be sent.
+    /// A session with an entry was opened; the agent's hello has not been sent yet.
     SessionOpened {
-        /// The session.
         session: SessionId,
         /// The entry's address, for logs.
         entry: String,
     },
-    /// A session is lost.
-    SessionLost {
-        /// The session.
-        session: SessionId,
-    },
-    /// A frame came in.
+    /// A session was disconnected.
+    SessionLost { session: SessionId },
+    /// A frame was received on a session.
     Frame {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: EntryFrame,
     },
-    /// The worker told of itself.
+    /// The worker reported its state.
     Heartbeat {
-        /// What it said.
         view: WorkerView,
-        /// Number of the report, rising in one life.
+        /// Sequence number of the report, ascending within one incarnation.
         sequence: u64,
     },
-    /// An earlier process of this agent has left word of the worker.
-    WorkerRestored {
-        /// What the worker said of itself then.
-        view: WorkerView,
-    },
-    /// The worker said that it ends.
+    /// A worker view persisted by an earlier process of this agent was loaded.
+    WorkerRestored { view: WorkerView },
+    /// The worker announced that it is shutting down.
     WorkerLeft {
-        /// Its name.
+        /// Name of the worker.
         worker: String,
     },
-    /// A start was answered or given up.
+    /// The worker responded to a start call, or the call failed.
     StartAnswered {
-        /// The call.
         call: StartCall,
-        /// The answer.
         response: StartResponse,
     },
-    /// A stop was answered, or given up if not `confirmed`.
+    /// The worker responded to a stop call, or the call failed.
     StopAnswered {
-        /// The call.
         call: StopCall,
-        /// The worker has taken it.
+        /// The worker accepted the stop.
         confirmed: bool,
     },
-    /// A hold was answered or given up.
+    /// The worker responded to a hold call, or the call failed.
     HoldAnswered {
-        /// The call.
         call: HoldCall,
-        /// The answer.
         response: HoldResponse,
     },
-    /// The process is to end.
+    /// The process is shutting down.
     Shutdown,
-    /// Time has passed.
+    /// Sent periodically.
     Tick,
 }
 
-/// What the executor wants done.
+/// Output of the executor.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ExecutionAction {
-    /// Send a frame.
+    /// Send a frame to an entry.
     Send {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: AgentFrame,
     },
-    /// Give a session up.
-    Close {
-        /// The session.
-        session: SessionId,
-    },
-    /// Nothing that was started on a lost session is left: its entry may be dialled again.
-    SessionDrained {
-        /// The session.
-        session: SessionId,
-    },
-    /// Nothing runs at the worker that an earlier process of this agent started: entries may be dialled.
+    /// Close a session.
+    Close { session: SessionId },
+    /// All runs of a disconnected session have finished: the agent may connect to its entry again.
+    SessionDrained { session: SessionId },
+    /// No run of an earlier process of this agent is left on the worker: the agent may connect to
+    /// entries.
     StaleRunsStopped,
-    /// Keep what the worker says of itself for a later process of this agent.
+    /// Persist the worker view for a later process of this agent.
     PersistWorker(WorkerView),
-    /// Call the worker.
+    /// Send a start call to the worker.
     Start(StartCall),
-    /// Call the worker.
+    /// Send a stop call to the worker.
     Stop(StopCall),
-    /// Call the worker.
+    /// Send a hold call to the worker.
     Hold(HoldCall),
-    /// Write a line of the log.
+    /// Log an event.
     Log(ExecutionLogEvent),
 }
--- a/src/core/execution/execution_log_event.rs
+++ b/src/core/execution/execution_log_event.rs
@@ -1,124 +1,99 @@
-//! Decisions of the executor, for the log.
+//! Log events of the executor.
 
 use serde::Serialize;
 
-/// One decision with what it was based on.
+/// A JSON log event of the executor.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum ExecutionLogEvent {
-    /// A session with an entry is open.
-    EntryConnected {
-        /// The entry's address.
-        entry: String,
-    },
-    /// A session with an entry ended; what it started is stopped.
+    /// A session with an entry was opened.
+    EntryConnected { entry: String },
+    /// A session with an entry was closed; its runs are stopped.
     EntryLost {
-        /// The entry's address.
         entry: String,
-        /// Why.
         cause: &'static str,
-        /// Age of the entry's last word.
+        /// Time since the last frame from the entry.
         heard_ms_ago: u64,
-        /// Runs that are stopped.
+        /// Number of runs that are stopped.
         runs: usize,
     },
-    /// A worker, or another life of it, is beside this agent.
+    /// A worker or a new incarnation of it reported to this agent.
     WorkerSeen {
-        /// Its name.
         worker: String,
-        /// When the life began.
+        /// Start time of the incarnation.
         born_unix_ms: u64,
-        /// Runs that are lost with the life before.
+        /// Runs lost with the earlier worker.
         runs_lost: usize,
     },
-    /// The worker is about to end and is given nothing more.
+    /// The worker is draining and gets no more starts.
     WorkerDraining {
-        /// Its name.
         worker: String,
-        /// Runs there.
+        /// Runs still on the worker.
         runs: usize,
     },
-    /// The worker is gone or has not answered until its lease was over.
+    /// The worker left, or did not respond until its lease expired.
     WorkerLost {
-        /// Its name.
         worker: String,
-        /// Why.
         cause: &'static str,
-        /// Runs that are lost.
+        /// Number of runs that were lost.
         runs: usize,
     },
-    /// The worker is ready: nothing runs there that nobody here started.
+    /// The worker accepts starts: it has no orphaned runs.
     WorkerReady {
-        /// Its name.
         worker: String,
         /// Fencing token in use.
         token: u64,
     },
-    /// A run was refused or came to nothing.
+    /// A run was rejected or never started.
     RunNotStarted {
-        /// The job.
         job: String,
-        /// The run.
         run: String,
-        /// Why.
         reason: &'static str,
-        /// Processor time that was free, in thousandths of a core.
+        /// Free CPU, in thousandths of a core.
         free_cpu_milli: u32,
     },
-    /// A run ended otherwise than done.
+    /// A run finished with an outcome other than done.
     RunEnded {
-        /// The job.
         job: String,
-        /// The run.
         run: String,
-        /// How.
+        /// The outcome.
         end: &'static str,
-        /// For how long it ran.
         ran_ms: u64,
-        /// Why it was stopped, if it was.
+        /// Why the run was stopped; empty if it was not.
         cause: &'static str,
     },
-    /// A start was not answered; a higher fencing token settles what became of it.
+    /// A start call got no response; a run list under a higher fencing token resolves its outcome.
     OrderUnanswered {
-        /// The job.
         job: String,
-        /// The run.
         run: String,
-        /// The token from now on.
+        /// The new token.
         token: u64,
     },
     /// The worker has seen a higher fencing token.
     Fenced {
-        /// Its name.
         worker: String,
-        /// The token from now on.
+        /// The new token.
         token: u64,
     },
-    /// Something runs at the worker that nobody here started; it is stopped.
+    /// The worker runs something that this process did not start; it is stopped.
     StrayRun {
-        /// The job.
         job: String,
-        /// The task.
         task: String,
-        /// Number of the run.
+        /// Run number at the worker.
         number: u32,
     },
     /// The operators' document was fetched from an entry.
     DocumentFetched {
-        /// The entry's address.
         entry: String,
-        /// Its revision.
         revision: u64,
-        /// Its length.
+        /// Length of the document.
         bytes: usize,
-        /// For how long it was fetched.
         took_ms: u64,
     },
-    /// Newer word of what operators have set.
+    /// A newer set of evacuated zones was applied.
     NewsTaken {
-        /// Its version.
+        /// Store version of the set.
         version: u64,
-        /// Zones that are taken out.
         evacuated: Vec<String>,
     },
 }
--- a/src/core/execution/executor.rs
+++ b/src/core/execution/executor.rs
@@ -1,4 +1,4 @@
-//! The executor machine.
+//! State machine of an agent that runs tasks on its worker.
 
 use {
     super::{
@@ -14,27 +14,25 @@
     std::{collections::BTreeMap, mem},
 };
 
-/// What an executor takes from its settings.
+/// Settings of an [`Executor`].
 #[derive(Debug, Clone)]
 pub(crate) struct ExecutorSettings {
-    /// The agent's name.
     pub(crate) agent: String,
-    /// The service that the worker runs tasks of.
+    /// The only service whose tasks the worker runs.
     pub(crate) service: String,
-    /// Bounds that entries go by, too.
+    /// Time limits; must be the same as at the entries.
     pub(crate) limits: RunLimits,
-    /// First fencing token.
     pub(crate) first_token: u64,
 }
 
-/// Runs tasks on the worker beside it.
+/// Runs tasks on the worker of this agent.
 #[derive(Debug)]
 pub(crate) struct Executor {
     pub(super) settings: ExecutorSettings,
     pub(super) worker: Option<WorkerState>,
     pub(super) runs: BTreeMap<TaskId, Run>,
     pub(super) sessions: BTreeMap<SessionId, EntryLink>,
-    /// Lost sessions with runs that are not over, and their entries.
+    /// Disconnected sessions that still have unfinished runs, with the address of their entry.
     pub(super) draining_sessions: BTreeMap<SessionId, String>,
     pub(super) zones: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<SessionId>,
@@ -42,13 +40,13 @@
     pub(super) token_step: u64,
     pub(super) last_hold_sequence: u64,
     pub(super) leaving: bool,
-    /// Room that is offered to one entry alone, while several wait for some.
+    /// Free capacity reserved for one of several waiting entries.
     pub(super) reservation: Option<CapacityReservation>,
     pub(super) actions: Vec<ExecutionAction>,
 }
 
 impl Executor {
-    /// An executor that knows of no worker and no entry.
+    /// Creates an executor without a worker or sessions.
     pub(crate) fn new(settings: ExecutorSettings) -> Self {
         Self {
             token: settings.first_token,
@@ -67,12 +65,12 @@
         }
     }
 
-    /// Runs that are not over.
+    /// Number of unfinished runs.
     pub(crate) fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and returns the actions to execute.
     pub(crate) fn handle(&mut self, now: Instant, event: ExecutionEvent) -> Vec<ExecutionAction> {
         match event {
             ExecutionEvent::SessionOpened { session, entry } => {
@@ -110,9 +108,10 @@
         self.drain_unreported_worker(now);
     }
 
-    /// Takes in what the worker says of itself.
+    /// Applies the worker's report about itself.
     ///
-    /// A report of an earlier life, or an earlier report of this one, may arrive late; it changes nothing.
+    /// Ignores reports that arrive out of order: of an earlier incarnation, or with an older
+    /// sequence number.
     fn on_heartbeat(&mut self, now: Instant, view: WorkerView, sequence: u64) {
         if view.service != self.settings.service {
             return;
@@ -154,11 +153,11 @@
         self.announce_worker();
     }
 
-    /// Begins with another life of the worker: what ran in the one before is lost with it.
+    /// Starts tracking a new incarnation of the worker.
     ///
-    /// Guards against two runs of a task: a worker may begin anew under its name, take starts, and its report of
-    /// that come seconds late. Runs that it is taken to have, and orders under way, may therefore be
-    /// at work in the new life; its lists under a higher token settle which are.
+    /// A worker may restart under the same name and accept starts seconds before its first report
+    /// arrives. Pending and confirmed runs may therefore belong to the new incarnation; they stay
+    /// uncertain until its run list under a higher token resolves them.
     pub(super) fn start_incarnation(&mut self, now: Instant, view: WorkerView, sequence: u64) {
         let same_name = self
             .worker
@@ -204,7 +203,7 @@
         self.announce_worker();
     }
 
-    /// The worker as entries should see it: absent until it is ready.
+    /// The worker as announced to entries; `None` until it is ready.
     pub(super) fn announced_worker(&self) -> Option<WorkerView> {
         let worker = self.worker.as_ref().filter(|worker| worker.ready)?;
         let mut view = worker.view.clone();
@@ -222,7 +221,7 @@
         }
     }
 
-    /// What is free on the worker; runs that are being stopped still count.
+    /// Free capacity of the worker; runs that are being stopped still occupy theirs.
     pub(super) fn free(&self) -> Resources {
         let Some(worker) = &self.worker else {
             return Resources::default();
@@ -233,14 +232,14 @@
         })
     }
 
-    /// Ends a run and tells its entry; the cause is that of its stop, if it was stopped.
+    /// Finishes a run and reports the outcome to its entry, with the cause of its stop, if any.
     pub(super) fn finish_run(&mut self, now: Instant, task: TaskId, end: RunOutcome) {
         let stop = self.runs.get(&task).and_then(|run| run.stop);
         let cause = stop.map_or("", |stop| stop.cause);
         self.finish_run_with_cause(now, task, end, cause);
     }
 
-    /// Ends a run for this cause and tells its entry.
+    /// Finishes a run for the given cause and reports the outcome to its entry.
     pub(super) fn finish_run_with_cause(
         &mut self,
         now: Instant,
--- a/src/core/execution/lease.rs
+++ b/src/core/execution/lease.rs
@@ -1,4 +1,4 @@
-//! The lease at the worker, the fencing token, and a worker that does not answer.
+//! The worker's lease, the fencing token, and detection of an unresponsive worker.
 
 use {
     super::{
@@ -8,23 +8,24 @@
     crate::core::{link::RunOutcome, time::Instant, work::TaskId},
 };
 
-/// First step by which a token is raised that the worker rejects; doubled each time.
+/// First increment of a fencing token that the worker rejected; doubles with each rejection.
 pub(crate) const INITIAL_TOKEN_STEP: u64 = 16;
-/// Renewals of the lease in its length, so that three may be lost in a row.
+/// Renewals within one lease, so that three in a row may fail.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Longest wait for ends while tasks run, in milliseconds; a lost answer delays an end by no more.
+/// Long poll timeout while tasks run, in milliseconds; also the maximum delay of an outcome after a
+/// lost response.
 const LONG_POLL_MS: u64 = 400;
-/// Longest wait for ends while nothing runs, in milliseconds.
+/// Long poll timeout while nothing runs, in milliseconds.
 const IDLE_LONG_POLL_MS: u64 = 1_500;
-/// Time beyond the wait after which a watch counts as lost and another is begun, in milliseconds.
+/// Time beyond its timeout after which a long poll counts as failed, in milliseconds.
 const LONG_POLL_SLACK_MS: u64 = 200;
-/// Looks without an answer after which a worker that runs nothing counts as gone.
+/// Failed polls after which an idle worker counts as unavailable.
 const MAX_FAILED_POLLS: u32 = 3;
-/// Pause between looks at a worker that is not ready or does not answer, in milliseconds.
+/// Time between polls of a worker that is not ready or does not respond, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 100;
 
 impl Executor {
-    /// Renews the lease, keeps watching for ends, and gives up on a worker that does not answer.
+    /// Renews the lease, keeps a long poll open and drops an unresponsive worker.
     pub(super) fn maintain_worker(&mut self, now: Instant) {
         if self.worker.is_none() {
             return;
@@ -34,10 +35,10 @@
         self.long_poll(now);
     }
 
-    /// A new end for the lease, on the worker's clock; `None` while that clock is not known.
+    /// Returns a new end of the lease on the worker's clock, or `None` if that clock is unknown.
     ///
-    /// The end is a point on the worker's clock, so an order that is held up, here or on its
-    /// way, is late when it arrives and does nothing.
+    /// Because the end is a point on the worker's clock, a call that is delayed beyond it has no
+    /// effect on arrival.
     pub(super) fn extend_lease(&mut self, now: Instant) -> Option<u64> {
         let limits = self.settings.limits;
         let worker = self.worker.as_mut()?;
@@ -66,7 +67,8 @@
         if !is_due || (worker.ready && !has_runs) {
             return;
         }
-        // A worker that does not answer keeps its lease no longer than it must.
+        // The lease of an unresponsive worker is not renewed, so that it expires as early as
+        // possible.
         let is_responsive = now.millis_since(worker.last_response_at) < limits.lease_ms;
         let extends_lease = worker.ready && has_runs && is_responsive;
         let lease_until_ms = if extends_lease {
@@ -99,7 +101,7 @@
         self.call_hold(None, wait_ms);
     }
 
-    /// Asks at once what runs.
+    /// Requests the run list without waiting for a run to finish.
     pub(super) fn request_run_list(&mut self) {
         self.call_hold(None, 0);
     }
@@ -127,10 +129,10 @@
         }
     }
 
-    /// Notes a look without an answer.
+    /// Records a failed poll and delays the next one.
     ///
-    /// Guards against a loop of calls to a worker that is gone: its host refuses connections at once, and
-    /// each refusal would be followed by another call, thousands a second.
+    /// The host of a stopped worker refuses connections at once; without the delay, polls would
+    /// repeat in a tight loop.
     pub(super) fn record_failed_poll(&mut self, now: Instant) {
         if let Some(worker) = &mut self.worker {
             worker.failed_polls += 1;
@@ -138,14 +140,16 @@
         }
     }
 
-    /// Gives up a worker that does not answer, and all its runs once its lease is certainly over.
+    /// Drops an unresponsive worker, and marks all its runs lost once its lease has certainly
+    /// expired.
     fn drop_unresponsive_worker(&mut self, now: Instant) {
         let lease_ms = self.settings.limits.lease_ms;
         let Some(worker) = &mut self.worker else {
             return;
         };
         let unresponsive = now.millis_since(worker.last_response_at) >= lease_ms;
-        // Without runs a look may wait for long, so that looks count and not the time.
+        // An idle worker may hold a poll for longer than the lease, so failed polls count instead
+        // of time.
         let has_failed =
             unresponsive && (!self.runs.is_empty() || worker.failed_polls >= MAX_FAILED_POLLS);
         if !worker.ready || !has_failed || now < worker.lease_expires_at {
@@ -166,14 +170,14 @@
     fn mark_all_runs_lost(&mut self, now: Instant, cause: &'static str) -> usize {
         let confirmed = self.mark_confirmed_runs_lost(now, cause);
         let unconfirmed: Vec<TaskId> = self.runs.keys().copied().collect();
-        // Their worker may have begun them before it fell silent.
+        // The worker may have started them before it became unresponsive.
         for task in &unconfirmed {
             self.finish_run_with_cause(now, *task, RunOutcome::Lost, cause);
         }
         confirmed + unconfirmed.len()
     }
 
-    /// Ends the runs that the worker is known to have had.
+    /// Marks the runs lost that the worker is known to have started.
     pub(super) fn mark_confirmed_runs_lost(&mut self, now: Instant, cause: &'static str) -> usize {
         let confirmed: Vec<TaskId> = self
             .runs
@@ -187,7 +191,7 @@
         confirmed.len()
     }
 
-    /// Goes on with a token above one that the worker rejected.
+    /// Raises the token above one that the worker rejected.
     pub(super) fn raise_token(&mut self) {
         self.token = self.token.saturating_add(self.token_step);
         self.token_step = self.token_step.saturating_mul(2);
@@ -196,7 +200,7 @@
     }
 }
 
-/// How much longer a span lasts on a worker's clock that is 2% slow.
+/// Extra time that a span may take on a worker's clock that runs 2% slow.
 const fn clock_drift_ms(span_ms: u64) -> u64 {
     span_ms / 50 + 1
 }
--- a/src/core/execution/mod.rs
+++ b/src/core/execution/mod.rs
@@ -1,4 +1,5 @@
-//! Runs tasks on the one worker beside an agent, for several entries, never two runs of a task at once.
+//! Execution of tasks on an agent's single worker, on behalf of several entries; a task never has
+//! two runs at once.
 
 mod capacity;
 mod documents;
--- a/src/core/execution/restored_worker.rs
+++ b/src/core/execution/restored_worker.rs
@@ -1,11 +1,12 @@
-//! What an agent's earlier process knew of the worker.
+//! Use of the worker view that an earlier process of this agent persisted.
 
 use {
     super::{ExecutionAction, Executor},
     crate::core::{time::Instant, work::WorkerView},
 };
 
-/// Time for which a worker is given tasks that has not reported to this process, in milliseconds: two reports.
+/// Time within which a restored worker must report to this process, in milliseconds: two report
+/// intervals.
 const RESTORED_WORKER_REPORT_TIMEOUT_MS: u64 = 3_000;
 
 impl Executor {
@@ -13,11 +14,11 @@
         self.actions.push(ExecutionAction::PersistWorker(view));
     }
 
-    /// Looks at the worker that an earlier process knew, before it reports to this one.
+    /// Polls the worker that an earlier process knew, before it reports to this one.
     ///
-    /// Guards against a site that stands idle after its agents were killed: their workers live on, and report
-    /// only every second or two. The worker's lists show whether it is still the same life; one that
-    /// has been replaced rejects the look, and its own report is waited for.
+    /// Workers outlive their agent and report only every second or two; without this, a restarted
+    /// agent would stay idle until then. The run list shows whether the incarnation is still the
+    /// same. A worker that was replaced rejects the poll and is used after its own report.
     pub(super) fn on_worker_restored(&mut self, now: Instant, view: WorkerView) {
         if self.worker.is_some() || view.service != self.settings.service {
             return;
@@ -28,9 +29,9 @@
         }
     }
 
-    /// Gives nothing more to a worker that goes on without a report.
+    /// Sends no more starts to a restored worker that does not report.
     ///
-    /// Guards against tasks for a worker that is about to end: it may have said so to the earlier process.
+    /// It may have announced its shutdown to the earlier process.
     pub(super) fn drain_unreported_worker(&mut self, now: Instant) {
         let Some(worker) = &mut self.worker else {
             return;
--- a/src/core/execution/run.rs
+++ b/src/core/execution/run.rs
@@ -1,61 +1,60 @@
-//! One run at the worker.
+//! State of one run on the worker.
 
 use {
     super::SessionId,
     crate::core::{link::StartOrder, time::Instant},
 };
 
-/// How far the order to start it has come.
+/// Progress of starting a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartState {
-    /// The call is under way.
+    /// The start call is in flight.
     Pending,
-    /// Nobody knows whether the worker has it. A hold with a token above this one settles it.
+    /// The outcome of the start call is unknown until a hold call with a higher token is answered.
     Unresolved {
-        /// Token that the order carried.
+        /// Token of the start call.
         token: u64,
-        /// The worker had it, perhaps in a life that is over.
+        /// The worker may have started the run, perhaps in an earlier incarnation.
         may_have_started: bool,
     },
-    /// The worker has it since then.
+    /// The worker has confirmed the run.
     Confirmed {
-        /// When the answer came.
+        /// When the confirmation arrived.
         at: Instant,
     },
 }
 
-/// An order to stop a run.
+/// Progress of stopping a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct StopState {
-    /// Why, for logs.
+    /// Cause of the stop, for logs.
     pub(super) cause: &'static str,
-    /// When the newest call was made.
+    /// When the latest stop call was sent.
     pub(super) sent_at: Instant,
-    /// Holds with this number or a higher one were sent after the worker took the stop.
+    /// Sequence number of the first hold call sent after the worker confirmed the stop.
     pub(super) confirmed_from_hold: Option<u64>,
 }
 
-/// A run that is not over.
+/// An unfinished run.
 #[derive(Debug)]
 pub(super) struct Run {
-    /// The session that it was started on.
+    /// The session of the entry that started it.
     pub(super) session: SessionId,
-    /// The entry's order.
     pub(super) order: StartOrder,
-    /// Number of the run as the worker counts; above the entry's where an earlier run ended here.
+    /// Run number at the worker; higher than the entry's if earlier runs of the task finished on
+    /// this worker.
     pub(super) number: u32,
-    /// Calls made to start it.
+    /// Number of start calls sent.
     pub(super) start_calls: u32,
-    /// When the order came.
+    /// When the start order was received.
     pub(super) received_at: Instant,
-    /// How far the start has come.
     pub(super) start: StartState,
-    /// The stop, if it is to stop.
+    /// Set once the run is to be stopped.
     pub(super) stop: Option<StopState>,
 }
 
 impl Run {
-    /// For how long it has run.
+    /// How long the run has been running, in milliseconds.
     pub(super) const fn ran_ms(&self, now: Instant) -> u64 {
         match self.start {
             StartState::Confirmed { at } => now.millis_since(at),
@@ -63,7 +62,7 @@
         }
     }
 
-    /// When nobody waits for its job any more.
+    /// When the client's deadline passes.
     pub(super) const fn deadline(&self) -> Instant {
         self.received_at.plus_ms(self.order.time_left_ms)
     }
--- a/src/core/execution/run_calls.rs
+++ b/src/core/execution/run_calls.rs
@@ -1,4 +1,4 @@
-//! Orders to the worker: starts and stops, and what their answers mean.
+//! Start and stop calls to the worker, and its responses to them.
 
 use {
     super::{
@@ -13,12 +13,12 @@
     },
 };
 
-/// Most calls made to start one run, where each one before did nothing.
+/// Maximum number of start calls for one run.
 ///
-/// Numbers used by earlier runs of the task and a change of the token cost one call each.
+/// Each used run number and each change of the token costs one call.
 const MAX_START_CALLS: u32 = 6;
-/// Pause before a stop that was not answered is sent again, in milliseconds: twice what a worker
-/// takes to stop a run.
+/// Time before an unconfirmed stop call is repeated, in milliseconds: twice what a worker takes to
+/// stop a run.
 const STOP_RETRY_INTERVAL_MS: u64 = 100;
 
 impl Executor {
@@ -91,7 +91,7 @@
         let Some(run) = self.runs.get_mut(&call.task) else {
             return;
         };
-        // What a hold has settled since needs no answer any more.
+        // A run list may have resolved the start in the meantime.
         if run.number != call.number || run.start != StartState::Pending {
             return;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Calls again after an answer that says that nothing was done, unless the run is to stop.
+    /// Repeats a start call that had no effect, unless the run is to be stopped.
     fn retry_start(&mut self, now: Instant, task: TaskId, reason: NotStartedReason) {
         let Some(run) = self.runs.get(&task) else {
             return;
@@ -144,11 +144,11 @@
         self.finish_run(now, task, RunOutcome::NotStarted(reason));
     }
 
-    /// Raises the fencing token above that of an order that was not answered.
+    /// Raises the fencing token above that of a start call without a response.
     ///
-    /// Guards against an order that is carried out seconds later, when its task runs elsewhere:
-    /// once the worker has answered a hold with the higher token, it has either started the run,
-    /// and lists it, or rejects the order whenever it arrives.
+    /// The call could otherwise start the run seconds later, while its task already runs elsewhere.
+    /// Once the worker has answered a hold call with the higher token, it either lists the run or
+    /// will reject the start call whenever that arrives.
     fn mark_run_uncertain(&mut self, task: TaskId, call_token: u64) {
         if self.token <= call_token {
             self.token = call_token + 1;
@@ -171,10 +171,11 @@
         self.request_run_list();
     }
 
-    /// Doubts all runs when another life of the worker begins: its lists tell which of them it has.
+    /// Marks all runs uncertain when a new incarnation of the worker starts; its run list shows
+    /// which of them it has.
     ///
-    /// Guards against a false "not started": the life before may have begun an order whose answer
-    /// never came, so what the new one does not list may have run.
+    /// The earlier incarnation may have started a run without its response arriving, so a run
+    /// missing from the list is lost rather than not started.
     pub(super) fn mark_all_runs_uncertain(&mut self) {
         let uncertain: Vec<TaskId> = self.runs.keys().copied().collect();
         let token = self.token;
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Takes in that the worker has taken a stop, or that nobody knows.
+    /// Records a confirmed stop and requests the run list that will show its effect.
     pub(super) fn on_stop_answered(&mut self, call: &StopCall, confirmed: bool) {
         let next_hold = self.last_hold_sequence + 1;
         let Some(run) = self.runs.get_mut(&call.task) else {
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Sends stops again that were not answered.
+    /// Repeats stop calls that were not confirmed.
     pub(super) fn retry_stops(&mut self, now: Instant) {
         let mut due = Vec::new();
         for (task, run) in &mut self.runs {
--- a/src/core/execution/run_list.rs
+++ b/src/core/execution/run_list.rs
@@ -1,4 +1,4 @@
-//! What the worker's lists say.
+//! Application of the worker's run lists.
 
 use {
     super::{
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Whether the lists are those of the life that is known.
+    /// Whether a run list belongs to the known incarnation.
     ///
-    /// A worker may begin anew under its name, and its answers from before may come late. Its
-    /// next report tells of the new life, so lists of any other are left aside.
+    /// A worker may restart under the same name, and responses of the earlier incarnation may
+    /// arrive late. Run lists of other incarnations are ignored until the worker reports.
     fn is_current_incarnation(&self, call: &HoldCall, born_unix_ms: Option<u64>) -> bool {
         self.worker.as_ref().is_some_and(|worker| {
             let incarnation = &worker.view.life;
@@ -63,9 +63,9 @@
         })
     }
 
-    /// Gives a worker nothing more that has begun anew under its name, until its report comes.
+    /// Sends no more starts to a worker that has restarted under the same name until it reports.
     ///
-    /// Its clock and its runs are others than those that are known, so a start's lease would be too long.
+    /// Its clock is not known yet, so the lease of a start call could be too long.
     fn suspend_restarted_worker(&mut self, call: &HoldCall, born_unix_ms: Option<u64>) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether lists were made before others that have been taken in.
+    /// Whether a newer run list has already been applied.
     fn is_stale(&self, clock_ms: u64) -> bool {
         let clock = self.worker.as_ref().and_then(|worker| worker.clock);
         clock.is_some_and(|known| clock_ms < known.clock_ms)
@@ -90,7 +90,7 @@
         };
         worker.last_response_at = now;
         worker.failed_polls = 0;
-        // Answers may overtake each other; the clock never runs back.
+        // Responses may arrive out of order; the clock never runs backwards.
         if worker.clock.is_none_or(|known| clock_ms >= known.clock_ms) {
             worker.clock = Some(ClockReading { clock_ms, at: now });
         }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes that the worker has, or had, the run.
+    /// Records that the worker has started the run.
     fn confirm_start(&mut self, now: Instant, task: TaskId) {
         if let Some(run) = self.runs.get_mut(&task)
             && !matches!(run.start, StartState::Confirmed { .. })
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Takes in what runs.
+    /// Applies the list of running tasks.
     ///
-    /// Guards against stops for runs that have ended: answers on different connections overtake each other, and
-    /// an older list still names what a newer one has told the end of. Only the newest tells strays.
+    /// Responses on different connections may arrive out of order, and a stale list may still
+    /// contain a run that has finished. Only the newest list identifies orphaned runs.
     fn apply_running(&mut self, now: Instant, call: &HoldCall, running: &[ListedRun], stale: bool) {
         let listed: BTreeMap<TaskId, u32> =
             running.iter().map(|run| (run.task, run.number)).collect();
@@ -142,8 +142,8 @@
         self.mark_worker_ready(call, orphans);
     }
 
-    /// Stops what runs at the worker and is not known here: what an earlier process of this agent
-    /// started, or an order that was carried out after it had been settled.
+    /// Stops runs that this process does not know: runs of an earlier process of this agent, and
+    /// starts that took effect after they had been resolved as not started.
     fn stop_orphaned_runs(&mut self, listed: &BTreeMap<TaskId, u32>) -> usize {
         let runs = &self.runs;
         let is_orphan = |(task, number): &(&TaskId, &u32)| {
@@ -165,7 +165,7 @@
         orphans.len()
     }
 
-    /// Settles runs by whether they are listed: unanswered starts, stops, and runs that are gone.
+    /// Resolves uncertain starts and confirmed stops by whether their run is listed.
     fn reconcile_runs(&mut self, now: Instant, call: &HoldCall, listed: &BTreeMap<TaskId, u32>) {
         let mut finished = Vec::new();
         for (task, run) in &mut self.runs {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Offers the worker once its lists show that nothing runs there from before.
+    /// Marks the worker ready once its run list contains no orphaned runs.
     fn mark_worker_ready(&mut self, call: &HoldCall, orphans: usize) {
         let token = self.token;
         let Some(worker) = &mut self.worker else {
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with entries, and the right to run tasks for them.
+//! Sessions with entries, and the leases under which tasks run for them.
 
 use {
     super::{
@@ -13,35 +13,35 @@
     },
 };
 
-/// Pause before news is passed to an entry that goes by older ones, in milliseconds.
+/// Time before newer zones are sent to an entry that uses older ones, in milliseconds.
 ///
-/// An entry that reaches the store has newer news within a few milliseconds of the others.
+/// Entries that reach the store read the same version within a few milliseconds of each other.
 const ZONES_RELAY_DELAY_MS: u64 = 400;
 
-/// One entry's session.
+/// State of one entry's session.
 #[derive(Debug)]
 pub(super) struct EntryLink {
     /// The entry's address, for logs.
     pub(super) entry: String,
-    /// Tasks may run for this entry until then.
+    /// End of the entry's lease: tasks may run for it until then.
     pub(super) lease_until: Instant,
-    /// When the entry was last heard.
+    /// When the last frame arrived from the entry.
     pub(super) last_received_at: Instant,
-    /// Start orders taken in.
+    /// Start orders received on this session.
     pub(super) starts_seen: u32,
-    /// What the entry was told of free room.
     pub(super) capacity: ReportedCapacity,
-    /// The entry goes by older news than this agent knows since then.
+    /// Since when the entry uses older zones than this agent knows.
     pub(super) zones_outdated_since: Option<Instant>,
-    /// The entry names this agent as a holder of the document since then.
+    /// Since when the entry names this agent as a holder of the document.
     pub(super) holder_since: Option<Instant>,
 }
 
 impl Executor {
-    /// Begins a session with a hello that says that nothing which the entry started here runs any more.
+    /// Opens a session with a hello, which guarantees that no earlier run of this entry is left
+    /// here.
     ///
-    /// Guards against two runs of a task: that is not true while an earlier session with the entry is open or has runs
-    /// that are not over, and the entry would start them elsewhere. Such a session is given up.
+    /// While an earlier session with the entry is open or has unfinished runs, that does not hold
+    /// and the entry would start their tasks a second time. The new session is closed then.
     pub(super) fn on_session_opened(&mut self, now: Instant, session: SessionId, entry: String) {
         let is_open = self.sessions.values().any(|link| link.entry == entry);
         let is_draining = self
@@ -65,7 +65,7 @@
         });
         let link = EntryLink {
             entry,
-            // Nothing starts before the entry has sent the first stamp back.
+            // Nothing starts before the entry has echoed the first time stamp.
             lease_until: now,
             last_received_at: now,
             starts_seen: 0,
@@ -114,11 +114,11 @@
         }
     }
 
-    /// Extends the entry's right by what its echo proves.
+    /// Extends the entry's lease by its echo of a time stamp.
     ///
-    /// Guards against two runs of a task after its entry could not be reached: the right counts
-    /// from a stamp that this agent made, so bytes that were held up on the way extend it by
-    /// nothing, and the entry knows an upper bound of it from when the stamp arrived there.
+    /// The lease counts from a stamp of this agent's own clock, so delayed frames do not extend it,
+    /// and the entry knows an upper bound of it from when the stamp arrived there. This prevents a
+    /// second run of a task after the connection was interrupted.
     fn on_entry_heartbeat(
         &mut self,
         now: Instant,
@@ -142,7 +142,7 @@
             .zones_outdated_since
             .is_some_and(|since| now.millis_since(since) >= ZONES_RELAY_DELAY_MS);
         if relay {
-            // Asked again after another pause, should this copy be lost.
+            // Sent again after another delay in case this copy is lost.
             link.zones_outdated_since = Some(now);
         }
         self.send(
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes in news unless it is older than what is known.
+    /// Applies evacuated zones unless a newer version is known.
     fn apply_zones(&mut self, zones: EvacuatedZones) {
         if !zones.is_newer_than(self.zones.as_ref()) {
             return;
@@ -205,7 +205,7 @@
         self.send(session, frame);
     }
 
-    /// Why the order can't be followed, if it can't.
+    /// Why the start order must be rejected, if it must.
     fn reject_reason(
         &self,
         now: Instant,
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Gives up sessions whose entry's right has lapsed.
+    /// Closes sessions whose lease has expired.
     pub(super) fn close_unresponsive_sessions(&mut self, now: Instant) {
         let silence_ms = self.settings.limits.silence_ms;
         let unresponsive: Vec<SessionId> = self
@@ -265,7 +265,9 @@
         }
     }
 
-    /// Stops what a lost session started. Its entry has no client left, or will wait until all is over.
+    /// Closes a session and stops its runs.
+    ///
+    /// The entry either has no clients left or waits until its runs here have finished.
     pub(super) fn disconnect_session(
         &mut self,
         now: Instant,
@@ -294,7 +296,7 @@
         runs.map(|(task, _)| *task).collect()
     }
 
-    /// Stops runs whose right has lapsed or whose job nobody waits for.
+    /// Stops runs whose lease has expired or whose deadline has passed.
     pub(super) fn stop_expired_runs(&mut self, now: Instant) {
         let mut expired = Vec::new();
         for (task, run) in &self.runs {
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Says which lost sessions have nothing left here.
+    /// Reports disconnected sessions without unfinished runs.
     pub(super) fn report_drained_sessions(&mut self) {
         let runs = &self.runs;
         let is_drained = |session: &SessionId| runs.values().all(|run| run.session != *session);
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Marks a run to be stopped and tells the worker.
+    /// Marks a run for stopping and sends a stop call.
     pub(super) fn stop_run(&mut self, now: Instant, task: TaskId, cause: &'static str) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -1,4 +1,4 @@
-//! Directed tests of the executor; the seeded harness plays it with everything else.
+//! Unit tests of the executor; `core::tests` simulates it together with the other parts.
 
 use {
     super::{
@@ -14,10 +14,10 @@
 };
 
 const SESSION: SessionId = SessionId(1);
-/// When the worker of each test was born, in milliseconds since 1970.
+/// Start time of the worker's incarnation, in milliseconds since 1970.
 const BORN_MS: u64 = 5_000;
 
-/// An executor with its clock and what it last wanted done.
+/// An executor with its clock and its latest actions.
 struct TestExecutor {
     executor: Executor,
     now: Instant,
@@ -69,7 +69,7 @@
 }
 
 impl TestExecutor {
-    /// An executor that knows neither a worker nor an entry.
+    /// An executor without a worker and without sessions.
     fn without_worker() -> Self {
         let settings = ExecutorSettings {
             agent: "agent".to_owned(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// An executor with a worker that is ready and an entry that may run tasks.
+    /// An executor with a ready worker and one entry with a valid lease.
     fn ready() -> Self {
         let mut test = Self::without_worker();
         test.send_worker_heartbeat(BORN_MS, 1, false);
@@ -138,7 +138,7 @@
         self.send_run_list_at(1_000, call, running, ended);
     }
 
-    /// The lists as the worker made them when its clock showed this time.
+    /// Sends a run list that was made when the worker's clock showed `clock_ms`.
     fn send_run_list_at(
         &mut self,
         clock_ms: u64,
@@ -184,7 +184,7 @@
             .count()
     }
 
-    /// How runs ended, as the entry was told.
+    /// Outcomes that were reported to entries.
     fn outcomes(&self) -> Vec<RunOutcome> {
         let outcomes = self.actions.iter().filter_map(|action| match action {
             ExecutionAction::Send {
@@ -196,7 +196,7 @@
         outcomes.collect()
     }
 
-    /// Starts a task and lets the worker answer so.
+    /// Sends a start order and the worker's response to the start call.
     fn start_task(&mut self, job: u64, response: StartResponse) {
         self.send_frame(EntryFrame::Start(start_order(job)));
         let call = self.start_calls().remove(0);
@@ -222,7 +222,7 @@
 }
 
 rejection_cases! {
-    /// A worker says that it ends. From the moment at which that is acknowledged it is given nothing.
+    /// A worker that has announced its shutdown gets no more starts.
     a_draining_worker_rejects_starts: |test| test.send_worker_heartbeat(BORN_MS, 2, true) => Draining;
     an_evacuated_zone_rejects_starts: |test| test.send_frame(EntryFrame::News(EvacuatedZones {
         version: 7,
@@ -239,7 +239,7 @@
     a_start_during_shutdown_is_rejected: |test| test.send_event(ExecutionEvent::Shutdown) => Draining;
 }
 
-/// Requests for the document after beats that name the agent as a holder, or not, 200 ms apart.
+/// Counts document requests after entry heartbeats, 200 ms apart, with these values of `is_holder`.
 fn document_requests(holder_flags: &[bool]) -> usize {
     let mut test = TestExecutor::ready();
     let mut requests = 0;
@@ -280,12 +280,13 @@
 document_cases! {
     a_holder_fetches_the_document: [true, true, true, true, true] => 1;
     an_agent_that_is_not_a_holder_does_not_fetch: [false, false, false, false, false] => 0;
-    /// Guards against copies at most agents of a site that starts: each is among the first for a moment.
+    /// While a site starts, each agent is a holder for a moment; that must not copy the document to
+    /// all of them.
     a_briefly_named_holder_does_not_fetch: [true, true, false, true, true] => 0;
 }
 
-/// An entry's host is suspended. Its runs are stopped once its right has lapsed, and its session is given up, so
-/// that a copy of the job at another entry finds nothing of it at work.
+/// When an entry becomes unresponsive, its runs are stopped and its session is closed, so that a
+/// copy of the job at another entry does not run its tasks twice.
 #[test]
 fn runs_of_an_unresponsive_entry_are_stopped() {
     let mut test = TestExecutor::ready();
@@ -308,7 +309,7 @@
     assert!(test.actions.contains(&closed));
 }
 
-/// What an entry was last told of free room, in cores.
+/// The latest free capacity reported to an entry, in cores.
 fn reported_cores(test: &TestExecutor, recipient: SessionId) -> Option<u32> {
     let mut reports = test.actions.iter().rev().filter_map(|action| match action {
         ExecutionAction::Send {
@@ -320,7 +321,7 @@
     reports.next()
 }
 
-/// A worker of two slots that is full, and two more entries that were turned away.
+/// A full worker with two slots, and two more entries whose starts were rejected.
 fn full_worker_with_two_waiting_entries() -> TestExecutor {
     let mut test = TestExecutor::ready();
     test.start_task(1, StartResponse::Accepted);
@@ -343,7 +344,7 @@
     test
 }
 
-/// Of the two entries that wait, the one that was told of a slot, and the other.
+/// Of the two waiting entries, the one with the reservation, then the other.
 fn reserved_and_other(test: &TestExecutor) -> (SessionId, SessionId) {
     let (one, two) = (SessionId(2), SessionId(3));
     if reported_cores(test, one) == Some(1) {
@@ -353,7 +354,7 @@
     (two, one)
 }
 
-/// A look at the worker that was made after all others.
+/// A hold call later than all others.
 fn latest_poll() -> HoldCall {
     HoldCall {
         worker: "w".to_owned(),
@@ -374,25 +375,24 @@
     }
 }
 
-/// More work waits at three entries than a worker can take. When a slot becomes free, one of those that were turned away is
-/// told of it, and no other that waits. All used to be told, all ordered, and all but one were turned away again.
+/// Announcing a free slot to all waiting entries makes all of them send a start and all but one be
+/// rejected.
 #[test]
 fn a_free_slot_is_reserved_for_one_waiting_entry() {
     let mut test = full_worker_with_two_waiting_entries();
-    // By then a report to each of them would be due, also after they have been told of each other.
+    // Periodic reports to both entries are due by then.
     test.advance(30);
     test.advance(30);
     test.send_run_list(latest_poll(), &[run(2)], &[listed_end(1)]);
     let (reserved, other) = reserved_and_other(&test);
     assert_eq!(reported_cores(&test, other), None);
-    // Left alone, the slot goes to the next one.
+    // An unused reservation passes to the next entry.
     test.advance(12);
     assert_eq!(reported_cores(&test, other), Some(1));
     assert_eq!(reported_cores(&test, reserved), None);
 }
 
-/// An entry is offered a slot that it no longer needs. Its word passes the slot on at once; it used to stand idle for
-/// the length of the offer, up to a tenth of a worker's time in overload.
+/// A declined reservation must not leave the slot idle until it expires.
 #[test]
 fn a_declined_slot_is_reserved_for_the_next_entry() {
     let mut test = full_worker_with_two_waiting_entries();
@@ -404,11 +404,11 @@
     assert_eq!(reported_cores(&test, other), Some(1));
 }
 
-/// The entry that took the offered slot waits its turn behind the one that runs nothing here.
+/// An entry that has used its reservation waits behind one without runs here.
 #[test]
 fn the_entry_with_the_fewest_runs_gets_a_free_slot_first() {
     let mut test = full_worker_with_two_waiting_entries();
-    // By then a report to each of them would be due, also after they have been told of each other.
+    // Periodic reports to both entries are due by then.
     test.advance(30);
     test.advance(30);
     test.send_run_list(latest_poll(), &[run(2)], &[listed_end(1)]);
@@ -424,9 +424,8 @@
     assert_eq!(reported_cores(&test, reserved), None);
 }
 
-/// The list of entries loses an entry and has it again while its session lives, and the agent dials it a second time. The
-/// hello of the second session told the entry that nothing of the first runs here: it started its tasks
-/// elsewhere, and for some tens of milliseconds they had two runs.
+/// A second session with the same entry must not send a hello: the entry would start its tasks
+/// elsewhere while their runs on the first session continue.
 #[test]
 fn a_second_session_of_an_entry_is_closed() {
     let mut test = TestExecutor::ready();
@@ -443,16 +442,15 @@
         test.actions
             .contains(&ExecutionAction::Close { session: second })
     );
-    // Nor while the first one's run is not over.
+    // The entry is rejected as well while a run of its first session is unfinished.
     let session = SESSION;
     test.send_event(ExecutionEvent::SessionLost { session });
     test.send_event(open_second());
     assert!(!test.actions.iter().any(is_hello));
 }
 
-/// Two looks at a worker are under way. The later one tells a run's end, and the earlier one, whose answer was overtaken, still
-/// lists the run. It used to be taken for a run that nobody started, and was stopped and noted, twenty
-/// times a second on a busy site.
+/// A stale run list still contains a run whose outcome a newer one has reported; the run must not
+/// count as orphaned.
 #[test]
 fn a_stale_run_list_stops_no_runs() {
     let mut test = TestExecutor::ready();
@@ -469,12 +467,13 @@
     assert_eq!(test.outcomes(), [RunOutcome::Done]);
     test.send_run_list_at(1_120, earlier.clone(), &[run(1)], &[]);
     assert_eq!(test.stop_count(), 0);
-    // A list that is as new tells of a run that really goes on.
+    // A list that is just as new does identify an orphaned run.
     test.send_run_list_at(1_121, earlier, &[run(1)], &[]);
     assert_eq!(test.stop_count(), 1);
 }
 
-/// Bytes of an entry are held up for seconds and then arrive at once. The echo in them is old and gives no right.
+/// An entry's frames that are delayed for seconds contain an old echo, which must not extend its
+/// lease.
 #[test]
 fn an_old_echo_does_not_extend_the_lease() {
     let mut test = TestExecutor::ready();
@@ -493,8 +492,8 @@
     );
 }
 
-/// A start is not answered. It may be carried out seconds later, so the task is not given back before
-/// the worker has taken a higher token; then its lists tell.
+/// A start call without a response may still take effect; the run has an outcome only once the
+/// worker has responded under a higher token.
 #[test]
 fn an_unanswered_start_is_resolved_under_a_higher_token() {
     let mut test = TestExecutor::ready();
@@ -519,7 +518,8 @@
     assert_eq!(test.executor.run_count(), 1);
 }
 
-/// A run of the task had ended at this worker for another entry. The number is used, and the next one is taken.
+/// An earlier run of the task, started by another entry, has finished on this worker and used the
+/// number.
 #[test]
 fn a_used_run_number_is_incremented() {
     let mut test = TestExecutor::ready();
@@ -527,9 +527,9 @@
     assert_eq!(test.start_calls()[0].number, 2);
 }
 
-/// All agents of a site are killed and start again at once, while their workers live on and report every second and a half. What
-/// an earlier process has kept is enough to look at the worker, so tasks start there some milliseconds later, not with its next
-/// report. If none comes, the worker may have said to the earlier process that it ends, and is given nothing more.
+/// After a restart of the agent, the persisted view suffices to start tasks before the worker
+/// reports. Without a report in time the worker counts as draining, since it may have announced its
+/// shutdown to the earlier process.
 #[test]
 fn a_restored_worker_is_used_before_it_reports() {
     let mut test = TestExecutor::without_worker();
@@ -560,8 +560,8 @@
     assert!(announced.is_some_and(|view| view.draining));
 }
 
-/// The worker was replaced while no agent was at work. It rejects the look that was meant for the one before, which is
-/// never offered; its own report is waited for.
+/// A worker that was replaced while the agent was down rejects the poll for its predecessor, which
+/// must not be announced.
 #[test]
 fn a_restored_worker_that_was_replaced_is_not_announced() {
     let mut test = TestExecutor::without_worker();
@@ -578,7 +578,6 @@
     assert!(test.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
-/// What the worker says of itself is kept when it changes, not with each report.
 #[test]
 fn a_worker_view_is_persisted_only_when_it_changes() {
     let mut test = TestExecutor::ready();
@@ -592,8 +591,7 @@
     assert!(is_persisted(&test));
 }
 
-/// An agent is killed and starts again. What its earlier process had started is still at work at the worker: it is
-/// stopped before the worker is offered.
+/// After a restart of the agent, runs of its earlier process may continue on the worker.
 #[test]
 fn runs_of_an_earlier_agent_process_are_stopped_before_the_worker_is_ready() {
     let settings = TestExecutor::ready().executor.settings.clone();
@@ -613,8 +611,8 @@
     assert!(test.actions.contains(&ExecutionAction::StaleRunsStopped));
 }
 
-/// A worker begins anew under its name and takes a start; its report of that comes late. The run is not
-/// given back as lost with the life before, since it is at work.
+/// A worker restarts under the same name and accepts a start before its report arrives; the run
+/// must not be marked lost.
 #[test]
 fn a_run_started_before_the_restart_is_reported_keeps_running() {
     let mut test = TestExecutor::ready();
@@ -636,7 +634,6 @@
     assert_eq!(test.executor.run_count(), 1);
 }
 
-/// A report of an earlier life comes after that of the present one. It names no worker to use.
 #[test]
 fn a_late_report_of_an_earlier_incarnation_is_ignored() {
     let mut test = TestExecutor::ready();
@@ -645,12 +642,12 @@
     assert!(test.outcomes().is_empty());
 }
 
-/// A worker's process is gone, and connections to it are refused at once. Each refusal was answered with
-/// another call, thousands a second; and the worker was offered on, as long as nothing ran there.
+/// Refused connections must not cause a tight loop of polls, and an idle worker that refuses them
+/// is dropped.
 #[test]
 fn a_worker_that_refuses_connections_is_not_called_in_a_loop() {
     let mut test = TestExecutor::ready();
-    // The watch that the worker was given first is over by then.
+    // The first long poll has timed out by then.
     test.advance(2_000);
     let mut pending: Vec<HoldCall> = test.hold_calls();
     let mut calls = 0;
@@ -669,7 +666,8 @@
     assert!(test.start_calls().is_empty());
 }
 
-/// A worker does not answer, and tasks run there. They are given back only when its lease is certainly over.
+/// Runs of an unresponsive worker may continue until its lease has expired; they have no outcome
+/// before that.
 #[test]
 fn runs_of_an_unresponsive_worker_are_lost_when_its_lease_expires() {
     let mut test = TestExecutor::ready();
@@ -692,7 +690,7 @@
 }
 
 impl TestExecutor {
-    /// Keeps the entry's right without forgetting the actions that are looked at.
+    /// Renews the entry's lease and retains the earlier actions.
     fn renew_entry_lease(&mut self) {
         let earlier_actions = std::mem::take(&mut self.actions);
         self.send_entry_heartbeat();
@@ -718,8 +716,8 @@
     assert!(test.outcomes().is_empty());
 }
 
-/// A start is under way when its worker's host loses power: the task began, the answer never came, and the worker
-/// that comes next lists nothing. The client was told "not run", which was false.
+/// A worker's host fails during a start call and its successor lists nothing; "not started" would
+/// be a false outcome.
 #[test]
 fn a_start_that_a_restarted_worker_may_have_run_is_lost() {
     let mut test = TestExecutor::ready();
@@ -736,7 +734,7 @@
     assert_eq!(test.outcomes(), [RunOutcome::Lost]);
 }
 
-/// The same where the worker stays silent until its lease is over.
+/// The worker may have started the run before it became unresponsive.
 #[test]
 fn an_unanswered_start_at_an_unresponsive_worker_is_lost() {
     let mut test = TestExecutor::ready();
--- a/src/core/execution/worker_state.rs
+++ b/src/core/execution/worker_state.rs
@@ -1,47 +1,46 @@
-//! The worker beside the agent, as far as it is known.
+//! State of the agent's worker.
 
 use crate::core::{time::Instant, work::WorkerView};
 
 /// A reading of the worker's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ClockReading {
-    /// What it showed, in milliseconds.
+    /// Time shown, in milliseconds.
     pub(super) clock_ms: u64,
-    /// When the answer arrived here; the clock shows at least as much from then on.
+    /// When the response arrived; the worker's clock shows at least `clock_ms` from then on.
     pub(super) at: Instant,
 }
 
-/// One life of the worker.
+/// State of one incarnation of the worker.
 #[derive(Debug)]
 pub(super) struct WorkerState {
-    /// What it last said of itself.
+    /// The worker's latest report about itself.
     pub(super) view: WorkerView,
-    /// Number of its last report.
     pub(super) report_sequence: u64,
-    /// When word of it came from an earlier process; `None` once it has reported to this one.
+    /// When the view was restored from an earlier process; `None` once the worker has reported to
+    /// this one.
     pub(super) restored_at: Option<Instant>,
-    /// Its clock; unknown until its first list.
+    /// `None` until the first run list.
     pub(super) clock: Option<ClockReading>,
-    /// Newest end that was taken in.
+    /// Sequence number of the newest [`super::ListedEnd`] that was applied.
     pub(super) last_seen_end: u64,
-    /// Nothing runs there that nobody here started.
+    /// Whether the worker accepts starts: it has no orphaned runs.
     pub(super) ready: bool,
-    /// When it last answered a call.
     pub(super) last_response_at: Instant,
-    /// When its lease is over, on this process's clock and at the latest.
+    /// Latest time at which the lease expires, on this process's clock.
     pub(super) lease_expires_at: Instant,
-    /// When its lease was last renewed or tried to be.
+    /// When the latest lease renewal, or poll of a worker that is not ready, was sent.
     pub(super) renewed_at: Option<Instant>,
-    /// A hold that waits for ends is under way since then.
+    /// When the open long poll was sent.
     pub(super) long_poll_since: Option<Instant>,
-    /// Looks without an answer since its last one.
+    /// Failed polls since the last response.
     pub(super) failed_polls: u32,
-    /// No look is made before then.
+    /// No poll is sent before then.
     pub(super) next_poll_at: Instant,
 }
 
 impl WorkerState {
-    /// A life that nothing is known of but its own word.
+    /// Creates the state of an incarnation that has not been polled yet.
     pub(super) const fn new(now: Instant, view: WorkerView, report_sequence: u64) -> Self {
         Self {
             view,
--- a/src/core/link/agent_frame.rs
+++ b/src/core/link/agent_frame.rs
@@ -11,46 +11,45 @@
 };
 
 reasons! {
-    /// Why a run was not started; its worker has done nothing for it and never will.
+    /// Why a run was not started; the worker has done nothing for it and never will.
     NotStartedReason {
-        /// The agent knows no worker that is ready.
+        /// The agent has no ready worker.
         NoWorker => "no_worker",
-        /// The worker or its agent is about to end.
+        /// The worker or its agent is shutting down.
         Draining => "draining",
-        /// The worker's availability zone is taken out.
+        /// The worker's availability zone is evacuated.
         Evacuated => "evacuated",
-        /// The worker has no room for it.
+        /// The worker has not enough free capacity.
         NoRoom => "no_room",
-        /// Another run of the task is not over here.
+        /// Another run of the task is unfinished on this worker.
         TaskBusy => "task_busy",
-        /// The entry's right to run tasks here has lapsed.
+        /// The entry's lease has expired.
         RightLapsed => "right_lapsed",
-        /// The worker says that it is unhealthy.
+        /// The worker reports itself unhealthy.
         Unhealthy => "unhealthy",
-        /// The worker did not take the order, for another reason.
+        /// The worker rejected the start call for another reason.
         Rejected => "rejected",
-        /// The order was not answered, and the worker has taken a newer fencing token since.
+        /// The start call got no response, and a newer fencing token keeps it from taking effect.
         OrderLost => "order_lost",
     }
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RunOutcome {
-    /// The task is done.
     Done,
     /// The task or its worker failed.
     Failed,
-    /// It was stopped before its end.
+    /// The run was stopped before it finished.
     Stopped,
-    /// It was lost with its worker or its worker's lease.
+    /// The worker became unavailable or its lease expired; the run may have had effects.
     Lost,
-    /// It never began.
+    /// The run never started.
     NotStarted(NotStartedReason),
 }
 
 impl RunOutcome {
-    /// The end's name in logs and counters.
+    /// Name of the outcome in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -62,51 +61,47 @@
     }
 }
 
-/// What is free on a worker.
+/// Free capacity of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CapacityReport {
-    /// What is free.
     pub(crate) free: Resources,
-    /// Start orders of this session that the figure takes account of.
+    /// Start orders of this session that `free` accounts for.
     pub(crate) starts_seen: u32,
-    /// Entries that have a session with the agent and may order there, too.
+    /// Entries with a session at this agent, which may send starts as well.
     pub(crate) entries: u16,
 }
 
 /// A frame from an agent to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AgentFrame {
-    /// Opens the session; nothing that this entry started here earlier runs any more.
+    /// Opens the session; no run that this entry started here earlier is left.
     Hello {
-        /// The agent's name.
         agent: String,
         /// The agent's clock, in microseconds.
         stamp_us: u64,
     },
-    /// The agent lives.
+    /// Heartbeat of the agent.
     Beat {
         /// The agent's clock, in microseconds.
         stamp_us: u64,
         /// Revision of the document that the agent holds; zero without one.
         document_revision: u64,
     },
-    /// The worker beside the agent, if it can take tasks.
+    /// The agent's worker, or `None` if it is not ready.
     Worker(Option<WorkerView>),
-    /// What is free on it.
+    /// Free capacity of the worker.
     Room(CapacityReport),
-    /// A run is over.
+    /// A run has finished.
     Ended {
-        /// The run.
         run: RunId,
-        /// How it ended.
         end: RunOutcome,
-        /// For how long it ran.
+        /// How long the run was running.
         ran_ms: u64,
     },
-    /// What operators have set, for an entry that goes by older news.
+    /// Evacuated zones, for an entry that uses an older version.
     News(EvacuatedZones),
-    /// Asks the entry for a part of its document.
+    /// Requests a part of the entry's document.
     FetchDocument(PartRequest),
-    /// A part of the agent's document that the entry has asked for.
+    /// A part of the agent's document, as requested by the entry.
     DocumentPart(DocumentPart),
 }
--- a/src/core/link/entry_frame.rs
+++ b/src/core/link/entry_frame.rs
@@ -10,46 +10,43 @@
     std::sync::Arc,
 };
 
-/// An order to start a task.
+/// Message that starts a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StartOrder {
-    /// The task and the number of this try.
+    /// The task and the number of this run.
     pub(crate) run: RunId,
-    /// The job's text for the worker.
+    /// Job specification, passed to the worker unchanged.
     pub(crate) spec: Arc<str>,
-    /// What the task takes up.
+    /// Resources that the task requires.
     pub(crate) needs: Resources,
-    /// Time until nobody waits for the job any more; the agent stops the run then.
+    /// Time until the client's deadline, at which the agent stops the run.
     pub(crate) time_left_ms: u64,
 }
 
 /// A frame from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum EntryFrame {
-    /// The entry lives and has received the agent's time stamps up to this one.
+    /// Heartbeat of the entry, which echoes the agent's newest time stamp.
     Beat {
-        /// The newest stamp received, in microseconds on the agent's clock.
+        /// The newest time stamp received, in microseconds on the agent's clock.
         echo_us: u64,
-        /// Version of the news that the entry goes by.
+        /// Version of the evacuated zones that the entry uses.
         news_version: u64,
         /// Revision of the document that the entry holds; zero without one.
         document_revision: u64,
-        /// The agent is to hold the document, for entries that do not reach the store.
+        /// The agent is to hold the document, for entries that cannot reach the store.
         is_holder: bool,
     },
-    /// Start a task.
+    /// Starts a task.
     Start(StartOrder),
-    /// Stop a run.
-    Stop {
-        /// The run.
-        run: RunId,
-    },
-    /// The room that was offered is not needed: the tasks that waited for it run elsewhere or were given up.
+    /// Stops a run.
+    Stop { run: RunId },
+    /// Declines reserved capacity: the tasks that waited for it run elsewhere or were cancelled.
     Decline,
-    /// What operators have set.
+    /// Evacuated zones.
     News(EvacuatedZones),
-    /// Asks the agent for a part of its document.
+    /// Requests a part of the agent's document.
     FetchDocument(PartRequest),
-    /// A part of the entry's document that the agent has asked for.
+    /// A part of the entry's document, as requested by the agent.
     DocumentPart(DocumentPart),
 }
--- a/src/core/link/mod.rs
+++ b/src/core/link/mod.rs
@@ -1,7 +1,7 @@
-//! What entries and agents say to each other on a session.
+//! Frames that entries and agents exchange on a session.
 //!
-//! An agent dials each entry and holds one session with it. A session is one stream each way, so
-//! frames arrive in the order in which they were sent, or not at all.
+//! An agent dials each entry and keeps one session with it. A session is one stream in each
+//! direction, so frames arrive in the order in which they were sent, or not at all.
 
 mod agent_frame;
 mod entry_frame;
