--- a/src/core/dispatch/intake.rs
+++ b/src/core/dispatch/admission.rs
@@ -13,28 +13,28 @@
 };
 
 /// Most tasks of one job.
-const MAX_TASKS: usize = 1_000;
+const MAX_TASKS_PER_JOB: usize = 1_000;
 /// When to come back after an entry said that it ends, in milliseconds: its connections are then
 /// with others.
-const LEAVING_RETRY_MS: u64 = 1_000;
+const LEAVING_RETRY_AFTER_MS: u64 = 1_000;
 /// When to come back where the load decides, in milliseconds: most tasks end within a second, so
 /// the queue is another one by then.
-const OVERLOAD_RETRY_MS: u64 = 1_000;
+const OVERLOAD_RETRY_AFTER_MS: u64 = 1_000;
 /// For how long an entry that is to end still takes jobs, in milliseconds.
 ///
 /// The balancer needs two failed probes, a second apart, to send its clients elsewhere, and clients with an open
 /// connection come until it is closed, a second after that. What is taken last has half the usual grace of 6 s left.
-const LEAVING_TAKES_MS: u64 = 3_000;
+const LEAVING_ACCEPT_MS: u64 = 3_000;
 
 impl Dispatcher {
     pub(super) fn on_submit(&mut self, now: Instant, submission: Submission) {
         let waiter = submission.waiter;
-        if let Some(reason) = self.refusal(now, &submission) {
+        if let Some(reason) = self.refusal_reason(now, &submission) {
             let retry_after_ms = match reason {
-                RefusalReason::Leaving => LEAVING_RETRY_MS,
+                RefusalReason::Leaving => LEAVING_RETRY_AFTER_MS,
                 RefusalReason::Overloaded
                 | RefusalReason::DeadlinePassed
-                | RefusalReason::Isolated => OVERLOAD_RETRY_MS,
+                | RefusalReason::Isolated => OVERLOAD_RETRY_AFTER_MS,
                 RefusalReason::Unsupported | RefusalReason::BadJob | RefusalReason::TooLarge => 0,
             };
             let feature = submission.request.unsupported;
@@ -50,7 +50,7 @@
             return;
         }
         let Some(known) = self.by_id.get(&submission.id).copied() else {
-            self.take(now, submission, 1);
+            self.accept(now, submission, 1);
             return;
         };
         match self.jobs.get_mut(known) {
@@ -67,35 +67,38 @@
                     job: submission.id.to_string(),
                     runs,
                 });
-                self.held.entry(submission.id).or_default().push(submission);
+                self.held_copies
+                    .entry(submission.id)
+                    .or_default()
+                    .push(submission);
             }
-            None => self.take(now, submission, 1),
+            None => self.accept(now, submission, 1),
         }
     }
 
-    fn refusal(&self, now: Instant, submission: &Submission) -> Option<RefusalReason> {
+    fn refusal_reason(&self, now: Instant, submission: &Submission) -> Option<RefusalReason> {
         let request = &submission.request;
         if request.unsupported.is_some() || submission.route.needs_advice {
             return Some(RefusalReason::Unsupported);
         }
-        if !is_sound(request) {
+        if !is_valid(request) {
             return Some(RefusalReason::BadJob);
         }
-        let leaves = |since: Instant| now.millis_since(since) >= LEAVING_TAKES_MS;
-        if self.leaving_since.is_some_and(leaves) {
+        let stops_accepting = |since: Instant| now.millis_since(since) >= LEAVING_ACCEPT_MS;
+        if self.leaving_since.is_some_and(stops_accepting) {
             return Some(RefusalReason::Leaving);
         }
         None
     }
 
     /// Takes a job in whose runs are numbered from `first_run`.
-    pub(super) fn take(&mut self, now: Instant, submission: Submission, first_run: u32) {
+    pub(super) fn accept(&mut self, now: Instant, submission: Submission, first_run: u32) {
         let (id, waiter) = (submission.id, submission.waiter);
         let waited_ms = self
-            .patience
-            .waited_ms(&submission.route, submission.time_left_ms);
+            .client_deadlines
+            .estimate_waited_ms(&submission.route, submission.time_left_ms);
         let job = Job::new(now, submission, first_run, waited_ms);
-        let note = DispatchLogEvent::JobTaken {
+        let event = DispatchLogEvent::JobTaken {
             job: id.to_string(),
             route: job.route.name.clone(),
             tasks: job.tasks.len(),
@@ -105,12 +108,12 @@
             queued: self.queue.len(),
         };
         self.arrivals
-            .note(now, job.route.priority, job.request.work_ms());
+            .record(now, job.route.priority, job.request.work_ms());
         let key = self.jobs.insert(job);
         self.new_jobs.push(key);
         self.by_id.insert(id, key);
         self.by_waiter.insert(waiter, key);
-        self.log_event(note);
+        self.log_event(event);
         let unblocked = self.jobs.get_mut(key).map(Job::unblock).unwrap_or_default();
         for task in unblocked {
             self.enqueue(now, key, task);
@@ -120,10 +123,10 @@
     /// Gives a job up when the last of its clients has gone: nobody would get the answer, and a
     /// copy of the job may come to another entry, which must find nothing of it at work.
     pub(super) fn on_client_gone(&mut self, now: Instant, waiter: WaiterId) {
-        for held in self.held.values_mut() {
+        for held in self.held_copies.values_mut() {
             held.retain(|submission| submission.waiter != waiter);
         }
-        self.held.retain(|_, held| !held.is_empty());
+        self.held_copies.retain(|_, held| !held.is_empty());
         let Some(key) = self.by_waiter.remove(&waiter) else {
             return;
         };
@@ -132,33 +135,33 @@
         };
         job.waiters.retain(|known| *known != waiter);
         if job.waiters.is_empty() && !job.closed {
-            self.answer(now, key, JobOutcome::GivenUp(GiveUpReason::ClientGone));
+            self.finish_job(now, key, JobOutcome::GivenUp(GiveUpReason::ClientGone));
         }
     }
 
     /// Ends jobs that can't be done before their client stops waiting.
-    pub(super) fn end_overdue_jobs(&mut self, now: Instant) {
-        let overdue: Vec<(JobKey, JobOutcome)> = self
+    pub(super) fn end_expired_jobs(&mut self, now: Instant) {
+        let expired: Vec<(JobKey, JobOutcome)> = self
             .jobs
             .iter()
             .filter(|(_, job)| !job.closed && now >= job.deadline)
-            .map(|(key, job)| (key, final_answer(job, GiveUpReason::DeadlinePassed)))
+            .map(|(key, job)| (key, final_outcome(job, GiveUpReason::DeadlinePassed)))
             .collect();
-        for (key, answer) in overdue {
-            self.answer(now, key, answer);
+        for (key, outcome) in expired {
+            self.finish_job(now, key, outcome);
         }
     }
 
     /// Gives up a job of which a task waits that could not be done any more.
     pub(super) fn give_up(&mut self, now: Instant, key: JobKey) {
         if let Some(job) = self.jobs.get(key) {
-            let answer = final_answer(job, GiveUpReason::Overloaded);
-            self.answer(now, key, answer);
+            let outcome = final_outcome(job, GiveUpReason::Overloaded);
+            self.finish_job(now, key, outcome);
         }
     }
 
     /// Forgets a closed job once nothing of it runs, and begins with a copy that was held.
-    pub(super) fn forget_if_over(&mut self, key: JobKey) {
+    pub(super) fn remove_if_finished(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
@@ -169,18 +172,18 @@
     }
 
     /// Begins with held copies of jobs of which nothing is left.
-    pub(super) fn release_held(&mut self, now: Instant, key: JobKey) {
+    pub(super) fn release_held_copies(&mut self, now: Instant, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         let (id, first_run) = (job.id, job.next_run());
-        self.forget_if_over(key);
+        self.remove_if_finished(key);
         if self.by_id.contains_key(&id) {
             return;
         }
-        for submission in self.held.remove(&id).unwrap_or_default() {
+        for submission in self.held_copies.remove(&id).unwrap_or_default() {
             match self.by_id.get(&id) {
-                None => self.take(now, submission, first_run),
+                None => self.accept(now, submission, first_run),
                 Some(_) => self.on_submit(now, submission),
             }
         }
@@ -188,26 +191,26 @@
 }
 
 /// "Not run" where that is certain, else that tasks may have run.
-pub(super) fn final_answer(job: &Job, reason: GiveUpReason) -> JobOutcome {
+pub(super) fn final_outcome(job: &Job, reason: GiveUpReason) -> JobOutcome {
     if job.has_begun() {
         return JobOutcome::GivenUp(reason);
     }
-    let refusal = match reason {
+    let refusal_reason = match reason {
         GiveUpReason::DeadlinePassed => RefusalReason::DeadlinePassed,
         GiveUpReason::Isolated => RefusalReason::Isolated,
         GiveUpReason::Overloaded | GiveUpReason::ClientGone => RefusalReason::Overloaded,
     };
     JobOutcome::NotRun {
-        reason: refusal,
-        retry_after_ms: OVERLOAD_RETRY_MS,
+        reason: refusal_reason,
+        retry_after_ms: OVERLOAD_RETRY_AFTER_MS,
     }
 }
 
 /// Whether the job has tasks, not too many, and steps that refer to earlier ones only.
-fn is_sound(request: &JobRequest) -> bool {
+fn is_valid(request: &JobRequest) -> bool {
     let refers_back = |(number, step): (u16, &StepSpec)| {
         step.tasks > 0 && step.after.iter().all(|before| *before < number)
     };
     let tasks = request.task_count();
-    (1..=MAX_TASKS).contains(&tasks) && (0u16..).zip(&request.steps).all(refers_back)
+    (1..=MAX_TASKS_PER_JOB).contains(&tasks) && (0u16..).zip(&request.steps).all(refers_back)
 }
--- a/src/core/dispatch/arrival_rate.rs
+++ b/src/core/dispatch/arrival_rate.rs
@@ -4,38 +4,38 @@
 
 /// Time over which arrivals fade, in milliseconds: long enough for some hundred tasks at the smallest
 /// site's share of an entry, short enough to see a burst of some seconds begin and end.
-const MEMORY_MS: u64 = 1_000;
+const DECAY_TIME_MS: u64 = 1_000;
 
 /// Work that was handed in of late, by priority.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRate {
-    by_priority: BTreeMap<u32, FadingSum>,
+    by_priority: BTreeMap<u32, DecayingSum>,
 }
 
 #[derive(Debug, Default)]
-struct FadingSum {
+struct DecayingSum {
     work_ms: f64,
-    noted_at: Instant,
+    updated_at: Instant,
 }
 
-impl FadingSum {
+impl DecayingSum {
     fn at(&self, now: Instant) -> f64 {
-        let age_us = now.micros_since(self.noted_at) as f64;
-        self.work_ms * (-age_us / (MEMORY_MS as f64 * 1_000.0)).exp()
+        let age_us = now.micros_since(self.updated_at) as f64;
+        self.work_ms * (-age_us / (DECAY_TIME_MS as f64 * 1_000.0)).exp()
     }
 }
 
 impl ArrivalRate {
     /// Notes the work of a job that was taken in.
-    pub(super) fn note(&mut self, now: Instant, priority: u32, work_ms: u64) {
+    pub(super) fn record(&mut self, now: Instant, priority: u32, work_ms: u64) {
         let sum = self.by_priority.entry(priority).or_default();
         sum.work_ms = sum.at(now) + work_ms as f64;
-        sum.noted_at = now;
+        sum.updated_at = now;
     }
 
     /// Work of jobs that are more urgent than these, in milliseconds of work a millisecond.
-    pub(super) fn before(&self, now: Instant, priority: u32) -> f64 {
+    pub(super) fn more_urgent_than(&self, now: Instant, priority: u32) -> f64 {
         let sums = self.by_priority.range(..priority);
-        sums.map(|(_, sum)| sum.at(now)).sum::<f64>() / MEMORY_MS as f64
+        sums.map(|(_, sum)| sum.at(now)).sum::<f64>() / DECAY_TIME_MS as f64
     }
 }
--- a/src/core/dispatch/contact.rs
+++ b/src/core/dispatch/connectivity.rs
@@ -3,32 +3,32 @@
 use {
     super::{
         DispatchAction, DispatchLogEvent, Dispatcher, GiveUpReason, JobOutcome, LinkId,
-        intake::final_answer, job::JobKey,
+        admission::final_outcome, job::JobKey,
     },
     crate::core::time::Instant,
 };
 
 /// Time after a suspension in which nothing starts, in milliseconds: long enough to read what lies in the
 /// sockets, above all that clients have gone.
-const SETTLE_MS: u64 = 100;
+const RESUME_DELAY_MS: u64 = 100;
 
 /// When this entry was last at work and in touch.
 #[derive(Debug, Default)]
-pub(super) struct Contact {
-    handled_at: Option<Instant>,
+pub(super) struct Connectivity {
+    last_handled_at: Option<Instant>,
     /// The newest word of any agent, or when the entry began to wait for one.
-    heard_at: Instant,
-    settled_at: Instant,
+    last_heard_at: Instant,
+    resume_at: Instant,
 }
 
-impl Contact {
-    pub(super) fn heard(&mut self, now: Instant) {
-        self.heard_at = now;
+impl Connectivity {
+    pub(super) fn record_message(&mut self, now: Instant) {
+        self.last_heard_at = now;
     }
 
     /// Whether tasks may be ordered.
     pub(super) fn may_start(&self, now: Instant) -> bool {
-        now >= self.settled_at
+        now >= self.resume_at
     }
 }
 
@@ -38,22 +38,22 @@
     /// Guards against two runs of a task: meanwhile its agents have stopped what it had started, and its clients may
     /// have sent their jobs to other entries. All sessions are given up, jobs are ended if a copy
     /// may run elsewhere, and nothing starts before what lies in the sockets has been read.
-    pub(super) fn note_gap(&mut self, now: Instant) {
-        let Some(handled_at) = self.contact.handled_at.replace(now) else {
-            self.contact.heard_at = now;
+    pub(super) fn detect_suspension(&mut self, now: Instant) {
+        let Some(last_handled_at) = self.connectivity.last_handled_at.replace(now) else {
+            self.connectivity.last_heard_at = now;
             return;
         };
-        let after_ms = now.millis_since(handled_at);
+        let after_ms = now.millis_since(last_handled_at);
         if after_ms < self.settings.limits.silence_ms {
             return;
         }
         let open = self.open_jobs();
         self.log_event(DispatchLogEvent::Woke { after_ms, open });
-        self.contact.settled_at = now.plus_ms(SETTLE_MS);
+        self.connectivity.resume_at = now.plus_ms(RESUME_DELAY_MS);
         let links: Vec<LinkId> = self.by_link.keys().copied().collect();
         for link in links {
             self.actions.push(DispatchAction::Close { link });
-            self.lose_link(now, link, "woke");
+            self.disconnect(now, link, "woke");
         }
         self.end_isolated_jobs(now);
     }
@@ -66,9 +66,9 @@
     /// back to an entry that has agents where nothing of it was started.
     pub(super) fn end_isolated_jobs(&mut self, now: Instant) {
         let isolation_ms = self.settings.limits.isolation_ms;
-        let heard_at = self.contact.heard_at;
+        let last_heard_at = self.connectivity.last_heard_at;
         let is_isolated = |since: Instant| now.millis_since(since) >= isolation_ms;
-        if !is_isolated(heard_at) {
+        if !is_isolated(last_heard_at) {
             return;
         }
         let isolated: Vec<(JobKey, String, JobOutcome)> = self
@@ -76,14 +76,14 @@
             .iter()
             .filter(|(_, job)| !job.closed && is_isolated(job.received_at))
             .map(|(key, job)| {
-                let answer = final_answer(job, GiveUpReason::Isolated);
-                (key, job.id.to_string(), answer)
+                let outcome = final_outcome(job, GiveUpReason::Isolated);
+                (key, job.id.to_string(), outcome)
             })
             .collect();
-        let heard_ms_ago = now.millis_since(heard_at);
-        for (key, job, answer) in isolated {
+        let heard_ms_ago = now.millis_since(last_heard_at);
+        for (key, job, outcome) in isolated {
             self.log_event(DispatchLogEvent::JobIsolated { job, heard_ms_ago });
-            self.answer(now, key, answer);
+            self.finish_job(now, key, outcome);
         }
     }
 }
--- a/src/core/dispatch/dispatch_event.rs
+++ b/src/core/dispatch/dispatch_event.rs
@@ -139,12 +139,12 @@
         /// Who waits.
         waiter: WaiterId,
         /// The answer.
-        answer: JobOutcome,
+        outcome: JobOutcome,
     },
     /// An agent knows newer news than this entry.
     ApplyEvacuatedZones(EvacuatedZones),
     /// A newer document was fetched from an agent.
-    TakeDocument(Document),
+    ApplyDocument(Document),
     /// Write a line of the log.
     Log(DispatchLogEvent),
 }
--- a/src/core/dispatch/dispatcher.rs
+++ b/src/core/dispatch/dispatcher.rs
@@ -5,11 +5,11 @@
         DispatchAction, DispatchEvent, DispatchLogEvent, JobOutcome, LinkId, RefusalReason,
         Submission, WaiterId,
         arrival_rate::ArrivalRate,
-        contact::Contact,
+        client_deadlines::ClientDeadlines,
+        connectivity::Connectivity,
         job::{Job, JobKey},
-        pace::Pace,
-        patience::Patience,
-        queue::{TaskQueue, Waiting},
+        queue::{TaskQueue, WaitingTask},
+        throughput::Throughput,
         worker_link::{WorkerKey, WorkerLink},
     },
     crate::core::{
@@ -41,28 +41,28 @@
     pub(super) by_id: BTreeMap<JobId, JobKey>,
     pub(super) by_waiter: BTreeMap<WaiterId, JobKey>,
     /// Copies of jobs whose stopped runs are not over.
-    pub(super) held: BTreeMap<JobId, Vec<Submission>>,
+    pub(super) held_copies: BTreeMap<JobId, Vec<Submission>>,
     pub(super) queue: TaskQueue,
     pub(super) workers: SlotMap<WorkerKey, WorkerLink>,
     pub(super) by_agent: BTreeMap<String, WorkerKey>,
     pub(super) by_link: BTreeMap<LinkId, WorkerKey>,
-    pub(super) news: Option<EvacuatedZones>,
+    pub(super) zones: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<LinkId>,
     /// An agent holds a newer document than this entry since then.
-    pub(super) behind_since: Option<Instant>,
+    pub(super) document_behind_since: Option<Instant>,
     pub(super) leaving_since: Option<Instant>,
-    pub(super) contact: Contact,
+    pub(super) connectivity: Connectivity,
     /// How fast the entry gets through its work, as reckoned last.
-    pub(super) pace: Pace,
+    pub(super) throughput: Throughput,
     pub(super) rng: ChaCha8Rng,
     /// How long clients wait.
-    pub(super) patience: Patience,
+    pub(super) client_deadlines: ClientDeadlines,
     /// How fast work comes.
     pub(super) arrivals: ArrivalRate,
     /// Jobs that were taken in with the events that are handled.
     pub(super) new_jobs: Vec<JobKey>,
     /// Workers whose agents have told of room in the events that are handled.
-    pub(super) told_room: Vec<WorkerKey>,
+    pub(super) capacity_reported: Vec<WorkerKey>,
     pub(super) actions: Vec<DispatchAction>,
 }
 
@@ -75,21 +75,21 @@
             jobs: SlotMap::with_key(),
             by_id: BTreeMap::new(),
             by_waiter: BTreeMap::new(),
-            held: BTreeMap::new(),
+            held_copies: BTreeMap::new(),
             queue: TaskQueue::default(),
             workers: SlotMap::with_key(),
             by_agent: BTreeMap::new(),
             by_link: BTreeMap::new(),
-            news: None,
+            zones: None,
             document: DocumentCopy::default(),
-            behind_since: None,
+            document_behind_since: None,
             leaving_since: None,
-            contact: Contact::default(),
-            pace: Pace::default(),
-            patience: Patience::default(),
+            connectivity: Connectivity::default(),
+            throughput: Throughput::default(),
+            client_deadlines: ClientDeadlines::default(),
             arrivals: ArrivalRate::default(),
             new_jobs: Vec::new(),
-            told_room: Vec::new(),
+            capacity_reported: Vec::new(),
             actions: Vec::new(),
         }
     }
@@ -119,50 +119,50 @@
         now: Instant,
         events: impl IntoIterator<Item = DispatchEvent>,
     ) -> Vec<DispatchAction> {
-        self.note_gap(now);
+        self.detect_suspension(now);
         if !self.queue.is_empty() {
-            self.pace = self.reckon_pace(now);
+            self.throughput = self.estimate_throughput(now);
         }
         for event in events {
-            self.react(now, event);
+            self.handle_event(now, event);
         }
-        if self.contact.may_start(now) {
+        if self.connectivity.may_start(now) {
             self.place_tasks(now);
         }
-        self.judge_new_jobs(now);
-        self.decline_offers();
+        self.evaluate_new_jobs(now);
+        self.decline_unused_capacity();
         mem::take(&mut self.actions)
     }
 
-    fn react(&mut self, now: Instant, event: DispatchEvent) {
+    fn handle_event(&mut self, now: Instant, event: DispatchEvent) {
         match event {
             DispatchEvent::Submit(submission) => self.on_submit(now, submission),
             DispatchEvent::ClientGone { waiter } => self.on_client_gone(now, waiter),
             DispatchEvent::Frame { link, frame } => self.on_frame(now, link, frame),
-            DispatchEvent::LinkLost { link } => self.lose_link(now, link, "closed"),
-            DispatchEvent::EvacuatedZones(news) => self.on_news(news),
-            DispatchEvent::Document(document) => self.hold_document(document),
+            DispatchEvent::LinkLost { link } => self.disconnect(now, link, "closed"),
+            DispatchEvent::EvacuatedZones(zones) => self.on_evacuated_zones(zones),
+            DispatchEvent::Document(document) => self.set_document(document),
             DispatchEvent::Shutdown => self.leaving_since = Some(now),
             DispatchEvent::Tick => self.on_tick(now),
         }
     }
 
     fn on_tick(&mut self, now: Instant) {
-        self.tend_links(now);
-        self.end_overdue_jobs(now);
+        self.maintain_links(now);
+        self.end_expired_jobs(now);
         self.end_isolated_jobs(now);
         self.stop_overdue_runs(now);
     }
 
     /// Gives the final answer to everybody who waits for a job.
-    pub(super) fn answer(&mut self, now: Instant, key: JobKey, answer: JobOutcome) {
+    pub(super) fn finish_job(&mut self, now: Instant, key: JobKey, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         let waiters = mem::take(&mut job.waiters);
         job.closed = true;
-        let (name, reason) = answer.name_and_reason();
-        let note = DispatchLogEvent::JobAnswered {
+        let (name, reason) = outcome.name_and_reason();
+        let event = DispatchLogEvent::JobAnswered {
             job: job.id.to_string(),
             route: job.route.name.clone(),
             answer: name,
@@ -172,28 +172,28 @@
             waited_ms: job.last_start.millis_since(job.received_at),
             starts: job.starts,
             failed_runs: job.failed_runs(),
-            left: job.left,
+            left: job.remaining_tasks,
         };
-        self.log_event(note);
+        self.log_event(event);
         for waiter in waiters {
             self.by_waiter.remove(&waiter);
-            self.actions.push(DispatchAction::Reply { waiter, answer });
+            self.actions.push(DispatchAction::Reply { waiter, outcome });
         }
         self.close_job(key);
     }
 
     /// Answers a call whose job was not taken in.
     pub(super) fn refuse(&mut self, waiter: WaiterId, reason: RefusalReason, retry_after_ms: u64) {
-        let answer = JobOutcome::NotRun {
+        let outcome = JobOutcome::NotRun {
             reason,
             retry_after_ms,
         };
-        self.actions.push(DispatchAction::Reply { waiter, answer });
+        self.actions.push(DispatchAction::Reply { waiter, outcome });
     }
 
     /// Stops what is left of an answered job, and forgets it once nothing of it runs.
     pub(super) fn close_job(&mut self, key: JobKey) {
-        self.queue.drop_job(key);
+        self.queue.remove_job(key);
         let mut stops = Vec::new();
         for worker in self.workers.values_mut() {
             let Some(link) = worker.link else {
@@ -210,7 +210,7 @@
             let frame = EntryFrame::Stop { run };
             self.actions.push(DispatchAction::Send { link, frame });
         }
-        self.forget_if_over(key);
+        self.remove_if_finished(key);
     }
 
     pub(super) fn enqueue(&mut self, now: Instant, key: JobKey, task: usize) {
@@ -218,7 +218,7 @@
             return;
         };
         let spread_ms = self.spread_ms(job);
-        match Waiting::new(now, key, job, task, spread_ms) {
+        match WaitingTask::new(now, key, job, task, spread_ms) {
             Some(waiting) => self.queue.insert(waiting),
             None => self.give_up(now, key),
         }
@@ -229,11 +229,11 @@
         if self.queue.is_empty() {
             return 0;
         }
-        self.pace.time_for_ms(job.waiting_work_ms())
+        self.throughput.time_for_ms(job.waiting_work_ms())
     }
 
-    pub(super) fn log_event(&mut self, note: DispatchLogEvent) {
-        self.actions.push(DispatchAction::Log(note));
+    pub(super) fn log_event(&mut self, event: DispatchLogEvent) {
+        self.actions.push(DispatchAction::Log(event));
     }
 }
 
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -13,7 +13,7 @@
 const DOCUMENT_HOLDERS: usize = 3;
 /// Time for which an agent holds a newer document before the entry fetches it, in milliseconds: an entry that reaches
 /// the store reads it there meanwhile.
-const FETCH_PAUSE_MS: u64 = 400;
+const FETCH_DELAY_MS: u64 = 400;
 
 impl Dispatcher {
     /// Whether an agent is to hold the document.
@@ -27,9 +27,9 @@
             .any(|holder| *holder == key)
     }
 
-    pub(super) fn hold_document(&mut self, document: Document) {
+    pub(super) fn set_document(&mut self, document: Document) {
         self.document.hold(document);
-        self.behind_since = None;
+        self.document_behind_since = None;
     }
 
     /// Fetches the document from an agent that has held a newer one for long enough.
@@ -38,8 +38,8 @@
         if revision <= held {
             return;
         }
-        let behind_since = *self.behind_since.get_or_insert(now);
-        if held > 0 && now.millis_since(behind_since) < FETCH_PAUSE_MS {
+        let document_behind_since = *self.document_behind_since.get_or_insert(now);
+        if held > 0 && now.millis_since(document_behind_since) < FETCH_DELAY_MS {
             return;
         }
         if let Some(request) = self.document.begin_fetch(now, link, revision) {
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(super) fn take_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
+    pub(super) fn handle_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
         match self.document.take_part(now, link, part) {
             FetchStep::None => {}
             FetchStep::Ask(request) => {
@@ -56,14 +56,14 @@
                 self.actions.push(DispatchAction::Send { link, frame });
             }
             FetchStep::Complete(fetched) => {
-                self.behind_since = None;
+                self.document_behind_since = None;
                 self.log_event(DispatchLogEvent::DocumentFetched {
                     agent: self.agent_of(link),
                     revision: fetched.document.revision,
                     bytes: fetched.document.text.len(),
                     took_ms: fetched.took_ms,
                 });
-                let action = DispatchAction::TakeDocument(fetched.document);
+                let action = DispatchAction::ApplyDocument(fetched.document);
                 self.actions.push(action);
             }
         }
--- a/src/core/dispatch/job.rs
+++ b/src/core/dispatch/job.rs
@@ -17,7 +17,7 @@
 }
 
 /// An answer up to this many objectives late is still of use to the caller.
-const LATE_OBJECTIVES: u64 = 3;
+const LATE_LIMIT_OBJECTIVES: u64 = 3;
 
 /// How far a task has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,7 +68,7 @@
     pub(super) waiters: Vec<WaiterId>,
     pub(super) tasks: Vec<Task>,
     /// Tasks that are not done.
-    pub(super) left: usize,
+    pub(super) remaining_tasks: usize,
     /// Runs that may be at work.
     pub(super) open_runs: usize,
     /// Some run may have begun.
@@ -104,7 +104,7 @@
             deadline: now.plus_ms(time_left_ms),
             objective_ms,
             waiters: vec![waiter],
-            left: tasks.len(),
+            remaining_tasks: tasks.len(),
             tasks,
             request,
             open_runs: 0,
@@ -140,8 +140,9 @@
 
     /// The latest moment to start a task so that its answer is still of use; `None` if it was past when the job came.
     pub(super) fn last_useful_start(&self, estimate_ms: u64) -> Option<Instant> {
-        let useful = self.start_within(self.objective_ms * LATE_OBJECTIVES, estimate_ms)?;
-        Some(useful.min(self.last_start(estimate_ms)))
+        let late_start =
+            self.start_within(self.objective_ms * LATE_LIMIT_OBJECTIVES, estimate_ms)?;
+        Some(late_start.min(self.last_start(estimate_ms)))
     }
 
     /// The latest moment to start a task so that its answer finds the client waiting.
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -24,19 +24,19 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        worker.heard_at = now;
-        self.contact.heard(now);
+        worker.last_heard_at = now;
+        self.connectivity.record_message(now);
         match frame {
             AgentFrame::Hello { .. } => {}
             AgentFrame::Beat {
                 stamp_us,
                 document_revision,
             } => {
-                worker.note_stamp(now, stamp_us);
+                worker.record_stamp(now, stamp_us);
                 self.fetch_document(now, link, document_revision);
             }
             AgentFrame::Worker(view) => {
-                let note = DispatchLogEvent::WorkerChanged {
+                let event = DispatchLogEvent::WorkerChanged {
                     agent: worker.agent.clone(),
                     worker: view
                         .as_ref()
@@ -44,25 +44,27 @@
                         .unwrap_or_default(),
                     draining: view.as_ref().is_some_and(|view| view.draining),
                 };
-                let was = worker.view.as_ref().map(|view| &view.life);
-                if was != view.as_ref().map(|view| &view.life) {
+                let previous = worker.view.as_ref().map(|view| &view.life);
+                if previous != view.as_ref().map(|view| &view.life) {
                     worker.health = Default::default();
                     worker.slowness = 1.0;
                 }
                 worker.view = view;
-                self.log_event(note);
+                self.log_event(event);
             }
             AgentFrame::Room(report) => {
-                worker.note_room(report);
-                self.told_room.push(key);
+                worker.record_capacity(report);
+                self.capacity_reported.push(key);
             }
-            AgentFrame::Ended { run, end, ran_ms } => self.on_ended(now, key, run, end, ran_ms),
-            AgentFrame::News(news) => self.actions.push(DispatchAction::ApplyEvacuatedZones(news)),
+            AgentFrame::Ended { run, end, ran_ms } => self.on_run_ended(now, key, run, end, ran_ms),
+            AgentFrame::News(zones) => self
+                .actions
+                .push(DispatchAction::ApplyEvacuatedZones(zones)),
             AgentFrame::FetchDocument(request) => {
                 let frame = EntryFrame::DocumentPart(self.document.part(request));
                 self.actions.push(DispatchAction::Send { link, frame });
             }
-            AgentFrame::DocumentPart(part) => self.take_document_part(now, link, &part),
+            AgentFrame::DocumentPart(part) => self.handle_document_part(now, link, &part),
         }
     }
 
@@ -90,35 +92,35 @@
             self.actions.push(DispatchAction::Close { link });
             return;
         }
-        self.end_all_runs(now, key);
+        self.mark_runs_lost(now, key);
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         let replaced = worker.link;
-        worker.open(now, link, stamp_us);
+        worker.open_session(now, link, stamp_us);
         self.by_link.insert(link, key);
         if let Some(replaced) = replaced {
             self.by_link.remove(&replaced);
             self.actions.push(DispatchAction::Close { link: replaced });
         }
-        self.contact.heard(now);
+        self.connectivity.record_message(now);
         self.log_event(DispatchLogEvent::AgentConnected { agent });
-        self.send_news(key);
-        self.beat(now, key);
+        self.send_zones(key);
+        self.send_heartbeat(now, key);
     }
 
     /// Takes all runs of an agent as over, with an unknown end.
-    fn end_all_runs(&mut self, now: Instant, key: WorkerKey) {
+    fn mark_runs_lost(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else {
             return;
         };
         let runs: Vec<RunId> = worker.runs.keys().copied().collect();
         for run in runs {
-            self.on_ended(now, key, run, RunOutcome::Lost, 0);
+            self.on_run_ended(now, key, run, RunOutcome::Lost, 0);
         }
     }
 
-    pub(super) fn lose_link(&mut self, now: Instant, link: LinkId, cause: &'static str) {
+    pub(super) fn disconnect(&mut self, now: Instant, link: LinkId, cause: &'static str) {
         let Some(key) = self.by_link.remove(&link) else {
             return;
         };
@@ -128,54 +130,55 @@
             return;
         };
         worker.link = None;
-        let over_at = worker.stamped_at.plus_ms(over_after_ms);
-        let note = DispatchLogEvent::AgentLost {
+        let runs_finished_at = worker.stamp_received_at.plus_ms(over_after_ms);
+        let event = DispatchLogEvent::AgentLost {
             agent: worker.agent.clone(),
             cause,
-            heard_ms_ago: now.millis_since(worker.heard_at),
+            heard_ms_ago: now.millis_since(worker.last_heard_at),
             runs: worker.runs.len(),
-            over_in_ms: over_at.millis_since(now),
+            over_in_ms: runs_finished_at.millis_since(now),
         };
-        self.log_event(note);
+        self.log_event(event);
     }
 
     /// Sends beats, gives silent sessions up, and takes runs as over that must be by now.
-    pub(super) fn tend_links(&mut self, now: Instant) {
+    pub(super) fn maintain_links(&mut self, now: Instant) {
         let limits = self.settings.limits;
         let keys: Vec<WorkerKey> = self.workers.keys().collect();
         for key in keys {
             let Some(worker) = self.workers.get(key) else {
                 continue;
             };
-            let silent = now.millis_since(worker.heard_at) >= limits.silence_ms;
-            let over = now.millis_since(worker.stamped_at) >= limits.over_after_ms();
-            let beat_due = worker
-                .beat_at
-                .is_none_or(|beat_at| now.millis_since(beat_at) >= limits.beat_ms());
+            let is_unresponsive = now.millis_since(worker.last_heard_at) >= limits.silence_ms;
+            let runs_finished =
+                now.millis_since(worker.stamp_received_at) >= limits.over_after_ms();
+            let heartbeat_due = worker
+                .heartbeat_sent_at
+                .is_none_or(|sent_at| now.millis_since(sent_at) >= limits.beat_ms());
             match worker.link {
-                Some(link) if silent => {
+                Some(link) if is_unresponsive => {
                     self.actions.push(DispatchAction::Close { link });
-                    self.lose_link(now, link, "silent");
+                    self.disconnect(now, link, "silent");
                 }
-                Some(_) if beat_due => self.beat(now, key),
+                Some(_) if heartbeat_due => self.send_heartbeat(now, key),
                 Some(_) => {}
-                None if over => {
-                    self.end_all_runs(now, key);
-                    self.forget_agent(key);
+                None if runs_finished => {
+                    self.mark_runs_lost(now, key);
+                    self.remove_agent(key);
                 }
                 None => {}
             }
         }
     }
 
-    fn forget_agent(&mut self, key: WorkerKey) {
+    fn remove_agent(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.remove(key) {
             self.by_agent.remove(&worker.agent);
         }
     }
 
-    fn beat(&mut self, now: Instant, key: WorkerKey) {
-        let news_version = self.news.as_ref().map_or(0, |news| news.version);
+    fn send_heartbeat(&mut self, now: Instant, key: WorkerKey) {
+        let news_version = self.zones.as_ref().map_or(0, |zones| zones.version);
         let document_revision = self.document.revision();
         let is_holder = self.is_document_holder(key);
         let Some(worker) = self.workers.get_mut(key) else {
@@ -184,7 +187,7 @@
         let Some(link) = worker.link else {
             return;
         };
-        worker.beat_at = Some(now);
+        worker.heartbeat_sent_at = Some(now);
         let frame = EntryFrame::Beat {
             echo_us: worker.stamp_us,
             news_version,
@@ -194,30 +197,30 @@
         self.actions.push(DispatchAction::Send { link, frame });
     }
 
-    pub(super) fn on_news(&mut self, news: EvacuatedZones) {
-        if !news.is_newer_than(self.news.as_ref()) {
+    pub(super) fn on_evacuated_zones(&mut self, zones: EvacuatedZones) {
+        if !zones.is_newer_than(self.zones.as_ref()) {
             return;
         }
         self.log_event(DispatchLogEvent::NewsInForce {
-            version: news.version,
-            evacuated: news.evacuated.iter().cloned().collect(),
+            version: zones.version,
+            evacuated: zones.evacuated.iter().cloned().collect(),
         });
-        let known = self.news.replace(news.clone());
+        let previous = self.zones.replace(zones.clone());
         // The store's version also rises with what is no news to agents.
-        if known.is_some_and(|known| known.evacuated == news.evacuated) {
+        if previous.is_some_and(|previous| previous.evacuated == zones.evacuated) {
             return;
         }
         let keys: Vec<WorkerKey> = self.workers.keys().collect();
         for key in keys {
-            self.send_news(key);
+            self.send_zones(key);
         }
     }
 
     /// Tells an agent the zones that are out.
-    fn send_news(&mut self, key: WorkerKey) {
+    fn send_zones(&mut self, key: WorkerKey) {
         let link = self.workers.get(key).and_then(|worker| worker.link);
-        if let (Some(link), Some(news)) = (link, self.news.clone()) {
-            let frame = EntryFrame::News(news);
+        if let (Some(link), Some(zones)) = (link, self.zones.clone()) {
+            let frame = EntryFrame::News(zones);
             self.actions.push(DispatchAction::Send { link, frame });
         }
     }
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -1,22 +1,22 @@
 //! Keeps clients' jobs at an entry and hands their tasks to agents.
 
+mod admission;
 mod arrival_rate;
-mod choice;
-mod contact;
+mod client_deadlines;
+mod connectivity;
 mod dispatch_event;
 mod dispatch_log_event;
 mod dispatcher;
 mod documents;
-mod ends;
-mod intake;
 mod job;
 mod links;
-mod outlook;
+mod outcomes;
 mod overdue;
-mod pace;
-mod patience;
-mod placing;
+mod overload;
+mod placement;
 mod queue;
+mod throughput;
+mod weighted_choice;
 mod worker_link;
 
 #[cfg(test)]
--- a/src/core/dispatch/overdue.rs
+++ b/src/core/dispatch/overdue.rs
@@ -9,9 +9,9 @@
 ///
 /// Run times are spread around the estimate by a factor of two or so; of runs that take four times as
 /// long almost all are on a worker that stands still or crawls.
-const OVERDUE_TIMES: u64 = 4;
+const OVERDUE_FACTOR: u64 = 4;
 /// ... and at least so much, in milliseconds: a restart costs a stop, two messages and another start.
-const OVERDUE_LEAST_MS: u64 = 250;
+const MIN_OVERDUE_MS: u64 = 250;
 
 impl Dispatcher {
     /// Stops runs at workers that stand still or crawl, to start them elsewhere.
@@ -25,25 +25,25 @@
                 continue;
             };
             for (run, open) in &mut worker.runs {
-                let after_ms = now.millis_since(open.ordered_at);
-                let most_ms = (open.estimate_ms * OVERDUE_TIMES).max(OVERDUE_LEAST_MS);
-                if !open.stopping && after_ms > most_ms {
+                let after_ms = now.millis_since(open.start_sent_at);
+                let limit_ms = (open.estimate_ms * OVERDUE_FACTOR).max(MIN_OVERDUE_MS);
+                if !open.stopping && after_ms > limit_ms {
                     open.stopping = true;
-                    let note = DispatchLogEvent::RunOverdue {
+                    let event = DispatchLogEvent::RunOverdue {
                         job: run.task.job.to_string(),
                         run: run.to_string(),
                         agent: worker.agent.clone(),
                         after_ms,
                         estimate_ms: open.estimate_ms,
                     };
-                    overdue.push((link, *run, note));
+                    overdue.push((link, *run, event));
                 }
             }
         }
-        for (link, run, note) in overdue {
+        for (link, run, event) in overdue {
             let frame = EntryFrame::Stop { run };
             self.actions.push(DispatchAction::Send { link, frame });
-            self.log_event(note);
+            self.log_event(event);
         }
     }
 }
--- a/src/core/dispatch/placing.rs
+++ b/src/core/dispatch/placement.rs
@@ -3,9 +3,9 @@
 use {
     super::{
         DispatchAction, Dispatcher,
-        choice::Choice,
         job::{Job, JobKey, Task, TaskState},
-        queue::Waiting,
+        queue::WaitingTask,
+        weighted_choice::WeightedChoice,
         worker_link::{OpenRun, WorkerKey, WorkerLink},
     },
     crate::core::{
@@ -20,24 +20,24 @@
 ///
 /// Tasks of one service are much alike, so the next ones fit nowhere either; looking at all of them
 /// at each event would take more processor time than the entry has.
-const MISSES: usize = 24;
+const MAX_MISSES: usize = 24;
 /// Factor for a worker in the rack of the task's data: any other takes half as long again, or twice.
-const DATA_RACK_BONUS: f64 = 1e6;
+const DATA_RACK_FACTOR: f64 = 1e6;
 /// Factor for a worker where the task is likely to fail: only if there is no other.
-const AVOID_MALUS: f64 = 1e-6;
+const AVOID_FACTOR: f64 = 1e-6;
 /// Least weight, for workers without a processor's share left and tasks that need none.
-const LEAST_WEIGHT: f64 = 1e-4;
+const MIN_WEIGHT: f64 = 1e-4;
 
 impl Dispatcher {
     /// Hands waiting tasks to workers with room.
     pub(super) fn place_tasks(&mut self, now: Instant) {
         let mut misses = 0;
-        let mut looked_at = None;
-        while misses < MISSES
-            && let Some(waiting) = self.queue.after(looked_at.as_ref())
+        let mut last_examined = None;
+        while misses < MAX_MISSES
+            && let Some(waiting) = self.queue.next_after(last_examined.as_ref())
         {
-            looked_at = Some(waiting);
-            if !waiting.holds(now) {
+            last_examined = Some(waiting);
+            if !waiting.is_current(now) {
                 self.requeue(now, waiting);
                 continue;
             }
@@ -48,13 +48,13 @@
     }
 
     /// Tells agents whose offers of room were not taken up.
-    pub(super) fn decline_offers(&mut self) {
-        for key in mem::take(&mut self.told_room) {
+    pub(super) fn decline_unused_capacity(&mut self) {
+        for key in mem::take(&mut self.capacity_reported) {
             let Some(worker) = self.workers.get_mut(key) else {
                 continue;
             };
             if let Some(link) = worker.link
-                && worker.declines()
+                && worker.clear_unused_request()
             {
                 let frame = EntryFrame::Decline;
                 self.actions.push(DispatchAction::Send { link, frame });
@@ -63,7 +63,7 @@
     }
 
     /// Orders a task at a worker that has room for it; whether there is one.
-    fn place(&mut self, now: Instant, waiting: &Waiting) -> bool {
+    fn place(&mut self, now: Instant, waiting: &WaitingTask) -> bool {
         let Some(job) = self.jobs.get(waiting.job) else {
             self.queue.remove(waiting);
             return true;
@@ -75,39 +75,39 @@
         if task.not_before > now {
             return false;
         }
-        let mut choice = Choice::new(&mut self.rng);
+        let mut choice = WeightedChoice::new(&mut self.rng);
         for (key, worker) in &self.workers {
-            if let Some(free) = free_for(now, worker, job, step, self.news.as_ref())
-                && worker.may_order(step.needs)
-                && !is_crowded(worker, job, task, step)
+            if let Some(free) = free_capacity_for(now, worker, job, step, self.zones.as_ref())
+                && worker.may_send_start(step.needs)
+                && !is_at_task_limit(worker, job, task, step)
             {
-                choice.offer(key, weight(worker, free, step, is_risky(key, worker, task)));
+                choice.add(key, weight(worker, free, step, is_risky(key, worker, task)));
             }
         }
-        let Some(worker) = choice.made() else {
+        let Some(worker) = choice.chosen() else {
             return false;
         };
         self.queue.remove(waiting);
-        self.order(now, waiting, worker);
-        if waiting.untouched {
-            self.place_rest(now, waiting.job);
+        self.send_start(now, waiting, worker);
+        if waiting.not_begun {
+            self.place_remaining_tasks(now, waiting.job);
         }
         true
     }
 
     /// Goes on with a job of which the first task has just been ordered; what finds no room goes before
     /// jobs that have not begun.
-    fn place_rest(&mut self, now: Instant, key: JobKey) {
-        for waiting in self.queue.take_job(key) {
+    fn place_remaining_tasks(&mut self, now: Instant, key: JobKey) {
+        for waiting in self.queue.drain_job(key) {
             self.enqueue(now, key, waiting.task);
         }
-        let mut has_room = true;
-        while has_room && let Some(waiting) = self.queue.first_of(key) {
-            has_room = self.place(now, &waiting);
+        let mut has_capacity = true;
+        while has_capacity && let Some(waiting) = self.queue.first_of_job(key) {
+            has_capacity = self.place(now, &waiting);
         }
     }
 
-    fn order(&mut self, now: Instant, waiting: &Waiting, key: WorkerKey) {
+    fn send_start(&mut self, now: Instant, waiting: &WaitingTask, key: WorkerKey) {
         let (Some(job), Some(worker)) = (self.jobs.get_mut(waiting.job), self.workers.get_mut(key))
         else {
             return;
@@ -136,11 +136,11 @@
             needs,
             time_left_ms: job.deadline.millis_since(now),
         };
-        worker.note_start(needs);
+        worker.record_start(needs);
         let open = OpenRun {
             job: waiting.job,
             task: waiting.task,
-            ordered_at: now,
+            start_sent_at: now,
             estimate_ms,
             stopping: false,
         };
@@ -151,18 +151,18 @@
 }
 
 /// What is free at a worker that may be given tasks of this step and has room for one.
-pub(super) fn free_for(
+pub(super) fn free_capacity_for(
     now: Instant,
     worker: &WorkerLink,
     job: &Job,
     step: &StepSpec,
-    news: Option<&EvacuatedZones>,
+    zones: Option<&EvacuatedZones>,
 ) -> Option<Resources> {
-    worker.usable_view(now, job, step, news)?;
-    let is_trusted = worker.runs.len() < usize::from(worker.health.most_tasks(now));
-    let is_open = is_trusted && now >= worker.paused_until;
-    let free = worker.free();
-    (is_open && step.needs.fits(free)).then_some(free)
+    worker.usable_view(now, job, step, zones)?;
+    let is_below_limit = worker.runs.len() < usize::from(worker.health.most_tasks(now));
+    let accepts_tasks = is_below_limit && now >= worker.paused_until;
+    let free = worker.free_capacity();
+    (accepts_tasks && step.needs.fits(free)).then_some(free)
 }
 
 /// How good the worker is for the task, as the weight of a draw.
@@ -177,15 +177,19 @@
         .as_ref()
         .map_or(1, |view| view.capacity.cpu_milli.max(1));
     let share = f64::from(free.cpu_milli) / f64::from(capacity);
-    let near = step.data_rack.as_ref().is_some_and(|rack| {
+    let is_in_data_rack = step.data_rack.as_ref().is_some_and(|rack| {
         worker
             .view
             .as_ref()
             .is_some_and(|view| view.labels.contains(rack))
     });
-    let bonus = if near { DATA_RACK_BONUS } else { 1.0 };
-    let malus = if is_risky { AVOID_MALUS } else { 1.0 };
-    (share / worker.slowness).powi(2).max(LEAST_WEIGHT) * bonus * malus
+    let data_rack_factor = if is_in_data_rack {
+        DATA_RACK_FACTOR
+    } else {
+        1.0
+    };
+    let risk_factor = if is_risky { AVOID_FACTOR } else { 1.0 };
+    (share / worker.slowness).powi(2).max(MIN_WEIGHT) * data_rack_factor * risk_factor
 }
 
 /// Whether the task had better go to another worker: its last run ended badly there, or it has failed before and so have others there.
@@ -197,7 +201,7 @@
 }
 
 /// Whether the worker has as many tasks of the step as it may.
-fn is_crowded(worker: &WorkerLink, job: &Job, task: &Task, step: &StepSpec) -> bool {
+fn is_at_task_limit(worker: &WorkerLink, job: &Job, task: &Task, step: &StepSpec) -> bool {
     if step.most_per_worker == 0 {
         return false;
     }
--- a/src/core/dispatch/queue.rs
+++ b/src/core/dispatch/queue.rs
@@ -14,11 +14,11 @@
 ///
 /// Estimates are off by four tenths or so; without a margin a queue in overload would start each task at
 /// its last moment, and half of them would be late.
-const MARGIN_PERCENT: u64 = 25;
+const ESTIMATE_MARGIN_PERCENT: u64 = 25;
 
 /// What starting a task now would lead to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Prospect {
+pub(super) enum DeadlineClass {
     /// An answer in time, or at least a whole one of a job that has begun.
     InTime,
     /// A late answer that is still of use.
@@ -29,16 +29,16 @@
 
 /// A waiting task, in the order of starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Waiting {
+pub(super) struct WaitingTask {
     /// What starting it would lead to, when it was last looked at.
-    pub(super) prospect: Prospect,
+    pub(super) deadline_class: DeadlineClass,
     /// The queue's priority; lower values go first.
     pub(super) priority: u32,
     /// Nothing of the job has begun.
     ///
     /// Guards against jobs of which a part runs and the rest waits until it is of no use: their clients can't
     /// repeat them, and what ran was in vain. Of two jobs alike the rest of a begun one costs less, too.
-    pub(super) untouched: bool,
+    pub(super) not_begun: bool,
     /// The latest start for that prospect.
     pub(super) latest_start: Instant,
     /// The job.
@@ -49,7 +49,7 @@
     pub(super) estimate_ms: u64,
 }
 
-impl Waiting {
+impl WaitingTask {
     /// A task that begins to wait or whose prospect has passed; `None` if it is of no use any more.
     ///
     /// All tasks of a job take `spread_ms` to start one after another. A job begins only while there is time
@@ -64,15 +64,15 @@
         let estimate_ms = job.step(task).map_or(0, |step| step.estimate_ms);
         // A queue with a tight objective leaves less than the margin.
         let slack_ms = job.objective_ms.saturating_sub(estimate_ms);
-        let margin_ms = (estimate_ms * MARGIN_PERCENT / 100).min(slack_ms / 2);
-        let in_time = job.latest_start(estimate_ms + margin_ms);
-        let useful = job.last_useful_start(estimate_ms);
-        let last_start = useful.unwrap_or(job.last_start(estimate_ms));
-        let waiting = |prospect, latest_start| {
+        let margin_ms = (estimate_ms * ESTIMATE_MARGIN_PERCENT / 100).min(slack_ms / 2);
+        let in_time_start = job.latest_start(estimate_ms + margin_ms);
+        let late_start = job.last_useful_start(estimate_ms);
+        let last_start = late_start.unwrap_or(job.last_start(estimate_ms));
+        let waiting = |deadline_class, latest_start| {
             Some(Self {
-                prospect,
+                deadline_class,
                 priority: job.route.priority,
-                untouched: !job.has_begun(),
+                not_begun: !job.has_begun(),
                 latest_start,
                 job: key,
                 task,
@@ -83,28 +83,29 @@
             return None;
         }
         if job.has_begun() {
-            return waiting(Prospect::InTime, last_start);
+            return waiting(DeadlineClass::InTime, last_start);
         }
-        if let Some(in_time) = in_time.map(|in_time| in_time.minus_ms(spread_ms))
-            && now <= in_time
+        if let Some(in_time_start) =
+            in_time_start.map(|in_time_start| in_time_start.minus_ms(spread_ms))
+            && now <= in_time_start
         {
-            return waiting(Prospect::InTime, in_time);
+            return waiting(DeadlineClass::InTime, in_time_start);
         }
-        match useful {
-            Some(useful) => waiting(Prospect::Late, useful),
-            None => waiting(Prospect::Overdue, last_start),
+        match late_start {
+            Some(late_start) => waiting(DeadlineClass::Late, late_start),
+            None => waiting(DeadlineClass::Overdue, last_start),
         }
     }
 
     /// Whether the prospect still holds.
-    pub(super) fn holds(&self, now: Instant) -> bool {
+    pub(super) fn is_current(&self, now: Instant) -> bool {
         now <= self.latest_start
     }
 }
 
 /// What goes before a job.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Ahead {
+pub(super) struct WorkAhead {
     /// Tasks.
     pub(super) tasks: usize,
     /// Their work, in milliseconds by the clients' estimates.
@@ -114,15 +115,15 @@
 /// Waiting tasks of all jobs.
 #[derive(Debug, Default)]
 pub(super) struct TaskQueue {
-    waiting: BTreeSet<Waiting>,
+    waiting: BTreeSet<WaitingTask>,
 }
 
 impl TaskQueue {
-    pub(super) fn insert(&mut self, waiting: Waiting) {
+    pub(super) fn insert(&mut self, waiting: WaitingTask) {
         self.waiting.insert(waiting);
     }
 
-    pub(super) fn remove(&mut self, waiting: &Waiting) {
+    pub(super) fn remove(&mut self, waiting: &WaitingTask) {
         self.waiting.remove(waiting);
     }
 
@@ -135,7 +136,7 @@
     }
 
     /// The first in the order of starts, or the one that follows another.
-    pub(super) fn after(&self, before: Option<&Waiting>) -> Option<Waiting> {
+    pub(super) fn next_after(&self, before: Option<&WaitingTask>) -> Option<WaitingTask> {
         match before {
             None => self.waiting.first().copied(),
             Some(before) => {
@@ -145,23 +146,23 @@
         }
     }
 
-    pub(super) fn drop_job(&mut self, job: JobKey) {
+    pub(super) fn remove_job(&mut self, job: JobKey) {
         self.waiting.retain(|waiting| waiting.job != job);
     }
 
     /// Tasks that start before another.
-    pub(super) fn ahead_of(&self, waiting: &Waiting) -> usize {
+    pub(super) fn count_before(&self, waiting: &WaitingTask) -> usize {
         self.waiting.range(..waiting).count()
     }
 
     /// Tasks of other jobs that may be in time and are as urgent as this one, or more.
-    pub(super) fn as_urgent_as(&self, waiting: &Waiting) -> Ahead {
+    pub(super) fn work_ahead_of(&self, waiting: &WaitingTask) -> WorkAhead {
         let others = self.waiting.iter().filter(|other| {
             other.job != waiting.job
-                && other.prospect == Prospect::InTime
+                && other.deadline_class == DeadlineClass::InTime
                 && other.priority <= waiting.priority
         });
-        others.fold(Ahead::default(), |ahead, other| Ahead {
+        others.fold(WorkAhead::default(), |ahead, other| WorkAhead {
             tasks: ahead.tasks + 1,
             work_ms: ahead.work_ms + other.estimate_ms,
         })
@@ -173,7 +174,7 @@
     }
 
     /// The first of a job's tasks that wait.
-    pub(super) fn first_of(&self, job: JobKey) -> Option<Waiting> {
+    pub(super) fn first_of_job(&self, job: JobKey) -> Option<WaitingTask> {
         self.waiting
             .iter()
             .find(|waiting| waiting.job == job)
@@ -181,7 +182,7 @@
     }
 
     /// Takes out the tasks of a job that wait, in their order.
-    pub(super) fn take_job(&mut self, job: JobKey) -> Vec<Waiting> {
+    pub(super) fn drain_job(&mut self, job: JobKey) -> Vec<WaitingTask> {
         self.waiting
             .extract_if(.., |waiting| waiting.job == job)
             .collect()
--- a/src/core/dispatch/tests/several_entries.rs
+++ b/src/core/dispatch/tests/concurrent_entries.rs
@@ -10,18 +10,18 @@
 #[derive(Debug, Default)]
 struct AgentModel {
     running: u32,
-    turned_away: u32,
+    rejected: u32,
     starts_seen: BTreeMap<usize, u32>,
 }
 
 impl AgentModel {
-    fn take(&mut self, entry: usize) -> bool {
+    fn accept(&mut self, entry: usize) -> bool {
         *self.starts_seen.entry(entry).or_default() += 1;
         let fits = self.running < SLOTS;
         if fits {
             self.running += 1;
         } else {
-            self.turned_away += 1;
+            self.rejected += 1;
         }
         fits
     }
@@ -37,7 +37,7 @@
 
 /// A site on which entries and agents take turns.
 struct Site {
-    entries: Vec<Bench>,
+    entries: Vec<TestDispatcher>,
     agents: BTreeMap<u64, AgentModel>,
     orders: Vec<(usize, u64, RunId)>,
 }
@@ -45,7 +45,7 @@
 impl Site {
     fn new() -> Self {
         Self {
-            entries: (0..ENTRIES).map(Bench::seeded).collect(),
+            entries: (0..ENTRIES).map(TestDispatcher::with_seed).collect(),
             agents: (1..=WORKERS).map(|w| (w, AgentModel::default())).collect(),
             orders: Vec::new(),
         }
@@ -60,7 +60,7 @@
     /// All orders under way arrive, one of each entry at a time, and are answered with a report.
     fn deliver(&mut self) {
         let orders = std::mem::take(&mut self.orders);
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let mut by_entry: Vec<Vec<_>> = vec![Vec::new(); ENTRIES as usize];
         for order in orders.into_iter().rev() {
             by_entry[order.0].push(order);
@@ -68,18 +68,18 @@
         while by_entry.iter().any(|orders| !orders.is_empty()) {
             for orders in &mut by_entry {
                 if let Some((entry, worker, run)) = orders.pop() {
-                    let taken = self.agents.get_mut(&worker).unwrap().take(entry);
-                    answers.push((entry, worker, run, taken));
+                    let accepted = self.agents.get_mut(&worker).unwrap().accept(entry);
+                    responses.push((entry, worker, run, accepted));
                 }
             }
         }
-        for (entry, worker, run, taken) in answers {
+        for (entry, worker, run, accepted) in responses {
             let report = self.agents[&worker].report(entry);
-            self.entries[entry].frame(worker, report);
+            self.entries[entry].receive_frame(worker, report);
             self.collect_orders(entry);
-            if !taken {
-                let end = RunOutcome::NotStarted(NotStartedReason::NoRoom);
-                self.entries[entry].end((worker, run), end);
+            if !accepted {
+                let outcome = RunOutcome::NotStarted(NotStartedReason::NoRoom);
+                self.entries[entry].end_run((worker, run), outcome);
                 self.collect_orders(entry);
             }
         }
@@ -89,8 +89,8 @@
         self.agents.values().map(|agent| agent.running).sum()
     }
 
-    fn turned_away(&self) -> u32 {
-        self.agents.values().map(|agent| agent.turned_away).sum()
+    fn rejected(&self) -> u32 {
+        self.agents.values().map(|agent| agent.rejected).sum()
     }
 }
 
@@ -99,7 +99,7 @@
 /// ordered and seven of eight orders were turned away and sent elsewhere, thousands in a second, while
 /// the jobs grew late. Cause: an entry took all the room in a report for its own.
 #[test]
-fn queues_that_meet_empty_workers_fill_them_without_a_storm() {
+fn full_queues_fill_idle_workers_without_mass_rejection() {
     let mut site = Site::new();
     for entry in 0..ENTRIES as usize {
         for number in 0..40 {
@@ -114,12 +114,12 @@
     for _ in 0..6 {
         site.deliver();
     }
-    let room = WORKERS as u32 * SLOTS;
-    assert_eq!(site.running(), room, "the site's room is in use");
+    let slots = WORKERS as u32 * SLOTS;
+    assert_eq!(site.running(), slots, "all slots are in use");
     assert!(
-        site.turned_away() < room / 2,
-        "{} orders were turned away for {room} slots",
-        site.turned_away()
+        site.rejected() < slots / 2,
+        "{} start orders were rejected for {slots} slots",
+        site.rejected()
     );
 }
 
@@ -127,7 +127,7 @@
 /// took the emptiest worker, all took the same one, which had no room for most of them: a message
 /// each way and two milliseconds more for every third task. Cause: the same order of preference everywhere.
 #[test]
-fn entries_that_choose_at_once_choose_different_workers() {
+fn concurrent_entries_choose_different_workers() {
     let mut site = Site::new();
     for agent in site.agents.values_mut() {
         agent.running = SLOTS - 2;
@@ -147,15 +147,15 @@
     }
     site.deliver();
     assert!(
-        site.turned_away() <= 2,
-        "{} of 24 orders were turned away",
-        site.turned_away()
+        site.rejected() <= 2,
+        "{} of 24 start orders were rejected",
+        site.rejected()
     );
 }
 
 /// A single busy entry must not be kept from room that the others leave: its share grows with each report.
 #[test]
-fn one_busy_entry_gets_all_the_room() {
+fn a_single_busy_entry_uses_all_capacity() {
     let mut site = Site::new();
     for worker in 1..=WORKERS {
         site.entries[0].connect_with(worker, SLOTS, ENTRIES as u16);
@@ -168,5 +168,5 @@
         site.deliver();
     }
     assert_eq!(site.running(), WORKERS as u32 * SLOTS);
-    assert_eq!(site.turned_away(), 0);
+    assert_eq!(site.rejected(), 0);
 }
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Directed tests of the dispatcher; the seeded harness plays it with everything else.
 
-mod several_entries;
+mod concurrent_entries;
 
 use {
     super::{
@@ -23,10 +23,10 @@
 };
 
 /// Room of each worker, in tasks of one core.
-const ROOM: u32 = 2;
+const WORKER_CORES: u32 = 2;
 
 /// A dispatcher with its clock and what it last wanted done.
-struct Bench {
+struct TestDispatcher {
     dispatcher: Dispatcher,
     now: Instant,
     stamp_us: u64,
@@ -81,18 +81,18 @@
     }
 }
 
-impl Bench {
+impl TestDispatcher {
     /// A dispatcher in touch with so many agents whose workers are free.
     fn with_workers(workers: u64) -> Self {
-        let mut bench = Self::seeded(1);
+        let mut dispatcher = Self::with_seed(1);
         for worker in 1..=workers {
-            bench.connect(worker);
+            dispatcher.connect(worker);
         }
-        bench
+        dispatcher
     }
 
     /// A dispatcher that knows no agent.
-    fn seeded(seed: u64) -> Self {
+    fn with_seed(seed: u64) -> Self {
         let limits = RunLimits::for_resend(1_300, 50);
         Self {
             dispatcher: Dispatcher::new(DispatchSettings { limits, seed }),
@@ -103,7 +103,7 @@
     }
 
     fn connect(&mut self, worker: u64) {
-        self.connect_with(worker, ROOM, 1);
+        self.connect_with(worker, WORKER_CORES, 1);
     }
 
     /// Meets an agent of which so many entries know.
@@ -113,7 +113,7 @@
             agent: format!("agent-{worker}"),
             stamp_us: self.stamp_us,
         };
-        self.frame(worker, hello);
+        self.receive_frame(worker, hello);
         let view = WorkerView {
             life: WorkerIncarnation {
                 id: format!("w-{worker}"),
@@ -125,36 +125,36 @@
             labels: vec![format!("rack-{worker}")],
             draining: false,
         };
-        self.frame(worker, AgentFrame::Worker(Some(view)));
+        self.receive_frame(worker, AgentFrame::Worker(Some(view)));
         let report = CapacityReport {
             free: needs(cores),
             starts_seen: 0,
             entries,
         };
-        self.frame(worker, AgentFrame::Room(report));
+        self.receive_frame(worker, AgentFrame::Room(report));
     }
 
-    fn room(&mut self, worker: u64, cores: u32, starts_seen: u32) {
+    fn report_capacity(&mut self, worker: u64, cores: u32, starts_seen: u32) {
         let free = needs(cores);
         let report = CapacityReport {
             free,
             starts_seen,
             entries: 1,
         };
-        self.frame(worker, AgentFrame::Room(report));
+        self.receive_frame(worker, AgentFrame::Room(report));
     }
 
-    fn feed(&mut self, event: DispatchEvent) {
+    fn send_event(&mut self, event: DispatchEvent) {
         self.actions = self.dispatcher.handle(self.now, [event]);
     }
 
-    fn frame(&mut self, worker: u64, frame: AgentFrame) {
+    fn receive_frame(&mut self, worker: u64, frame: AgentFrame) {
         let link = LinkId(worker);
-        self.feed(DispatchEvent::Frame { link, frame });
+        self.send_event(DispatchEvent::Frame { link, frame });
     }
 
-    fn end(&mut self, (worker, run): (u64, RunId), end: RunOutcome) {
-        self.frame(
+    fn end_run(&mut self, (worker, run): (u64, RunId), end: RunOutcome) {
+        self.receive_frame(
             worker,
             AgentFrame::Ended {
                 run,
@@ -165,24 +165,24 @@
     }
 
     /// Time passes while all agents keep in touch; all that was wanted meanwhile is kept.
-    fn pass_ms(&mut self, span_ms: u64) {
-        let mut wanted = Vec::new();
+    fn advance_ms(&mut self, span_ms: u64) {
+        let mut actions = Vec::new();
         for _ in 0..span_ms / 20 {
             self.now = self.now.plus_ms(20);
             self.stamp_us += 1;
             let stamp_us = self.stamp_us;
             let links: Vec<LinkId> = self.dispatcher.by_link.keys().copied().collect();
-            let beats = links.into_iter().map(|link| DispatchEvent::Frame {
+            let heartbeats = links.into_iter().map(|link| DispatchEvent::Frame {
                 link,
                 frame: AgentFrame::Beat {
                     stamp_us,
                     document_revision: 0,
                 },
             });
-            let events: Vec<_> = beats.chain([DispatchEvent::Tick]).collect();
-            wanted.extend(self.dispatcher.handle(self.now, events));
+            let events: Vec<_> = heartbeats.chain([DispatchEvent::Tick]).collect();
+            actions.extend(self.dispatcher.handle(self.now, events));
         }
-        self.actions = wanted;
+        self.actions = actions;
     }
 
     /// Orders to start, as worker and run.
@@ -210,57 +210,57 @@
         self.actions.iter().filter(is_stop).count()
     }
 
-    fn answers(&self) -> Vec<JobOutcome> {
-        let answers = self.actions.iter().filter_map(|action| match action {
-            DispatchAction::Reply { answer, .. } => Some(*answer),
+    fn outcomes(&self) -> Vec<JobOutcome> {
+        let outcomes = self.actions.iter().filter_map(|action| match action {
+            DispatchAction::Reply { outcome, .. } => Some(*outcome),
             _ => None,
         });
-        answers.collect()
+        outcomes.collect()
     }
 
     fn submit(&mut self, submission: Submission) -> Vec<(u64, RunId)> {
-        self.feed(DispatchEvent::Submit(submission));
+        self.send_event(DispatchEvent::Submit(submission));
         self.starts()
     }
 }
 
 #[test]
 fn a_job_is_completed_with_its_last_task() {
-    let mut bench = Bench::with_workers(2);
-    let starts = bench.submit(job(1, 0, vec![step(3, 50)]));
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    let starts = dispatcher.submit(job(1, 0, vec![step(3, 50)]));
     assert_eq!(starts.len(), 3);
-    bench.end(starts[0], RunOutcome::Done);
-    bench.end(starts[1], RunOutcome::Done);
-    assert!(bench.answers().is_empty());
-    bench.end(starts[2], RunOutcome::Done);
-    assert_eq!(bench.answers(), [JobOutcome::Completed]);
+    dispatcher.end_run(starts[0], RunOutcome::Done);
+    dispatcher.end_run(starts[1], RunOutcome::Done);
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.end_run(starts[2], RunOutcome::Done);
+    assert_eq!(dispatcher.outcomes(), [JobOutcome::Completed]);
 }
 
 #[test]
-fn a_step_begins_after_those_that_it_names() {
-    let mut bench = Bench::with_workers(2);
+fn a_step_starts_after_the_steps_it_depends_on() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
     let second = StepSpec {
         after: vec![0],
         ..step(1, 50)
     };
-    let starts = bench.submit(job(1, 0, vec![step(2, 50), second]));
+    let starts = dispatcher.submit(job(1, 0, vec![step(2, 50), second]));
     assert_eq!(starts.len(), 2);
-    bench.end(starts[0], RunOutcome::Done);
-    assert!(bench.starts().is_empty());
-    bench.end(starts[1], RunOutcome::Done);
-    assert_eq!(bench.starts()[0].1.task.step, 1);
+    dispatcher.end_run(starts[0], RunOutcome::Done);
+    assert!(dispatcher.starts().is_empty());
+    dispatcher.end_run(starts[1], RunOutcome::Done);
+    assert_eq!(dispatcher.starts()[0].1.task.step, 1);
 }
 
 #[test]
 fn a_task_that_fails_too_often_fails_its_job() {
-    let mut bench = Bench::with_workers(3);
-    let mut starts = bench.submit(job(1, 0, vec![step(1, 50)]));
+    let mut dispatcher = TestDispatcher::with_workers(3);
+    let mut starts = dispatcher.submit(job(1, 0, vec![step(1, 50)]));
     for attempt in 1..=3 {
         assert_eq!(starts[0].1.number, attempt);
-        bench.end(starts[0], RunOutcome::Failed);
-        starts = bench.starts();
+        dispatcher.end_run(starts[0], RunOutcome::Failed);
+        starts = dispatcher.starts();
     }
-    assert_eq!(bench.answers(), [JobOutcome::Failed]);
+    assert_eq!(dispatcher.outcomes(), [JobOutcome::Failed]);
     assert!(starts.is_empty());
 }
 
@@ -269,21 +269,21 @@
         $(
             #[test]
             fn $name() {
-                let mut bench = Bench::with_workers(1);
+                let mut dispatcher = TestDispatcher::with_workers(1);
                 let mut submission = job(1, 0, vec![step(1, 50)]);
                 let change: fn(&mut Submission) = $change;
                 change(&mut submission);
-                assert!(bench.submit(submission).is_empty());
-                let answers = bench.answers();
+                assert!(dispatcher.submit(submission).is_empty());
+                let outcomes = dispatcher.outcomes();
                 let reason = RefusalReason::$reason;
-                assert!(matches!(answers[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
+                assert!(matches!(outcomes[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
             }
         )+
     };
 }
 
 refusal_cases! {
-    a_job_that_is_to_be_kept_is_refused:
+    a_durable_job_is_refused:
         |job| job.request.unsupported = Some(UnsupportedFeature::Durable) => Unsupported;
     a_job_without_tasks_is_refused: |job| job.request.steps.clear() => BadJob;
     a_step_that_waits_for_itself_is_refused: |job| job.request.steps[0].after.push(0) => BadJob;
@@ -297,61 +297,63 @@
 /// A client leaves. Its runs are stopped at once; a copy of the job that comes meanwhile begins when
 /// they are over, with higher run numbers.
 #[test]
-fn a_copy_waits_for_the_runs_of_the_one_before() {
-    let mut bench = Bench::with_workers(2);
-    let starts = bench.submit(job(1, 0, vec![step(1, 900)]));
-    bench.feed(DispatchEvent::ClientGone {
+fn a_copy_waits_for_the_stopped_runs_of_the_original() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    let starts = dispatcher.submit(job(1, 0, vec![step(1, 900)]));
+    dispatcher.send_event(DispatchEvent::ClientGone {
         waiter: WaiterId(1),
     });
-    assert_eq!(bench.stops(), 1);
+    assert_eq!(dispatcher.stops(), 1);
     let mut copy = job(1, 0, vec![step(1, 900)]);
     copy.waiter = WaiterId(2);
-    assert!(bench.submit(copy).is_empty());
-    bench.end(starts[0], RunOutcome::Stopped);
-    assert_eq!(bench.starts()[0].1.number, 2);
+    assert!(dispatcher.submit(copy).is_empty());
+    dispatcher.end_run(starts[0], RunOutcome::Stopped);
+    assert_eq!(dispatcher.starts()[0].1.number, 2);
 }
 
 /// An agent's session breaks while a task runs there. The task is not started elsewhere before the run is certainly
 /// over, and then it is.
 #[test]
-fn a_run_in_doubt_is_waited_for() {
-    let mut bench = Bench::with_workers(2);
-    let starts = bench.submit(job(1, 0, vec![step(1, 900)]));
-    let (lost, _) = starts[0];
-    bench.feed(DispatchEvent::LinkLost { link: LinkId(lost) });
+fn a_run_with_unknown_outcome_is_not_restarted_too_early() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    let starts = dispatcher.submit(job(1, 0, vec![step(1, 900)]));
+    let (disconnected, _) = starts[0];
+    dispatcher.send_event(DispatchEvent::LinkLost {
+        link: LinkId(disconnected),
+    });
     let over_after_ms = RunLimits::for_resend(1_300, 50).over_after_ms();
-    bench.pass_ms(over_after_ms - 20);
-    assert!(bench.starts().is_empty());
-    bench.pass_ms(40);
-    assert_eq!(bench.starts().len(), 1);
-    assert_ne!(bench.starts()[0].0, lost);
+    dispatcher.advance_ms(over_after_ms - 20);
+    assert!(dispatcher.starts().is_empty());
+    dispatcher.advance_ms(40);
+    assert_eq!(dispatcher.starts().len(), 1);
+    assert_ne!(dispatcher.starts()[0].0, disconnected);
 }
 
 /// The agent comes back before that and says hello, which tells that nothing runs any more.
 #[test]
-fn a_hello_settles_runs_in_doubt() {
-    let mut bench = Bench::with_workers(1);
-    bench.submit(job(1, 0, vec![step(1, 900)]));
-    bench.feed(DispatchEvent::LinkLost { link: LinkId(1) });
-    bench.pass_ms(100);
-    bench.connect(1);
-    assert_eq!(bench.starts()[0].1.number, 2);
+fn a_hello_resolves_runs_with_unknown_outcome() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    dispatcher.submit(job(1, 0, vec![step(1, 900)]));
+    dispatcher.send_event(DispatchEvent::LinkLost { link: LinkId(1) });
+    dispatcher.advance_ms(100);
+    dispatcher.connect(1);
+    assert_eq!(dispatcher.starts()[0].1.number, 2);
 }
 
 /// An entry wakes after seconds and finds two hellos of one agent in its sockets. The older one is read last and
 /// says nothing about what was ordered on the newer session.
 #[test]
-fn an_older_hello_is_refused() {
-    let mut bench = Bench::with_workers(1);
-    bench.submit(job(1, 0, vec![step(1, 900)]));
+fn an_outdated_hello_is_rejected() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    dispatcher.submit(job(1, 0, vec![step(1, 900)]));
     let old = AgentFrame::Hello {
         agent: "agent-1".to_owned(),
         stamp_us: 1,
     };
-    bench.frame(9, old);
-    assert!(bench.starts().is_empty());
+    dispatcher.receive_frame(9, old);
+    assert!(dispatcher.starts().is_empty());
     assert!(
-        bench
+        dispatcher
             .actions
             .contains(&DispatchAction::Close { link: LinkId(9) })
     );
@@ -361,43 +363,43 @@
 /// come back. It used to say that tasks may have run, which a client can't act on where a task must
 /// not run twice.
 #[test]
-fn a_job_that_never_met_an_agent_has_not_run() {
-    let mut bench = Bench::seeded(1);
-    bench.submit(job(1, 0, vec![step(1, 900)]));
-    bench.pass_ms(1_000);
-    let answers = bench.answers();
+fn a_job_without_any_agent_is_reported_as_not_run() {
+    let mut dispatcher = TestDispatcher::with_seed(1);
+    dispatcher.submit(job(1, 0, vec![step(1, 900)]));
+    dispatcher.advance_ms(1_000);
+    let outcomes = dispatcher.outcomes();
     let reason = RefusalReason::Isolated;
     assert!(
-        matches!(answers[..], [JobOutcome::NotRun { reason: r, retry_after_ms }] if r == reason && retry_after_ms > 0)
+        matches!(outcomes[..], [JobOutcome::NotRun { reason: r, retry_after_ms }] if r == reason && retry_after_ms > 0)
     );
 }
 
 /// An entry's host is suspended for seconds while jobs run. On waking it gives them up, since their clients may have
 /// sent them elsewhere, and orders nothing before it has read who has gone.
 #[test]
-fn an_entry_that_wakes_gives_its_jobs_up() {
-    let mut bench = Bench::with_workers(2);
-    bench.submit(job(1, 0, vec![step(1, 900)]));
-    bench.now = bench.now.plus_ms(2_000);
-    bench.feed(DispatchEvent::Tick);
+fn an_entry_gives_up_its_jobs_after_a_suspension() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    dispatcher.submit(job(1, 0, vec![step(1, 900)]));
+    dispatcher.now = dispatcher.now.plus_ms(2_000);
+    dispatcher.send_event(DispatchEvent::Tick);
     assert_eq!(
-        bench.answers(),
+        dispatcher.outcomes(),
         [JobOutcome::GivenUp(GiveUpReason::Isolated)]
     );
-    bench.connect(1);
-    assert!(bench.submit(job(2, 0, vec![step(1, 50)])).is_empty());
-    bench.pass_ms(120);
-    assert_eq!(bench.starts().len(), 1);
+    dispatcher.connect(1);
+    assert!(dispatcher.submit(job(2, 0, vec![step(1, 50)])).is_empty());
+    dispatcher.advance_ms(120);
+    assert_eq!(dispatcher.starts().len(), 1);
 }
 
 #[test]
-fn nothing_is_placed_in_a_zone_that_is_out() {
-    let mut bench = Bench::with_workers(2);
-    bench.feed(DispatchEvent::EvacuatedZones(EvacuatedZones {
+fn nothing_is_placed_in_an_evacuated_zone() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    dispatcher.send_event(DispatchEvent::EvacuatedZones(EvacuatedZones {
         version: 5,
         evacuated: BTreeSet::from(["south".to_owned()]),
     }));
-    let starts = bench.submit(job(1, 0, vec![step(4, 50)]));
+    let starts = dispatcher.submit(job(1, 0, vec![step(4, 50)]));
     assert!(starts.iter().all(|(worker, _)| *worker == 2), "{starts:?}");
     assert_eq!(starts.len(), 2);
 }
@@ -406,27 +408,27 @@
 /// waits longer on a queue that is less urgent.
 #[test]
 fn urgent_tasks_go_first() {
-    let mut bench = Bench::with_workers(1);
-    let running = bench.submit(job(1, 2, vec![step(2, 900)]));
-    bench.submit(job(2, 2, vec![step(1, 900)]));
-    bench.submit(job(3, 0, vec![step(1, 60)]));
-    bench.end(running[0], RunOutcome::Done);
-    bench.room(1, 1, 2);
-    assert_eq!(bench.starts()[0].1.task.job, JobId(3));
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    let running = dispatcher.submit(job(1, 2, vec![step(2, 900)]));
+    dispatcher.submit(job(2, 2, vec![step(1, 900)]));
+    dispatcher.submit(job(3, 0, vec![step(1, 60)]));
+    dispatcher.end_run(running[0], RunOutcome::Done);
+    dispatcher.report_capacity(1, 1, 2);
+    assert_eq!(dispatcher.starts()[0].1.task.job, JobId(3));
 }
 
 /// More work comes than can be done. A job of four tasks gets the two slots that are free, and another one that must start
 /// sooner comes after it. The first goes on with the next slot: ordered by time alone it used to wait half done until its
 /// answer was of no use, and what had run of it was in vain.
 #[test]
-fn a_job_that_has_begun_goes_before_one_that_has_not() {
-    let mut bench = Bench::with_workers(1);
-    let begun = bench.submit(job(1, 0, vec![step(4, 400)]));
+fn a_begun_job_goes_before_a_new_one() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    let begun = dispatcher.submit(job(1, 0, vec![step(4, 400)]));
     assert_eq!(begun.len(), 2);
-    assert!(bench.submit(job(2, 0, vec![step(2, 100)])).is_empty());
-    bench.end(begun[0], RunOutcome::Done);
-    bench.room(1, 1, 2);
-    let next = bench.starts();
+    assert!(dispatcher.submit(job(2, 0, vec![step(2, 100)])).is_empty());
+    dispatcher.end_run(begun[0], RunOutcome::Done);
+    dispatcher.report_capacity(1, 1, 2);
+    let next = dispatcher.starts();
     assert_eq!(next[0].1.task.job, JobId(1));
 }
 
@@ -434,17 +436,17 @@
 /// it hear at once that they have not run, and when to come back. They used to be held until their answer was of no
 /// use, and were refused then.
 #[test]
-fn what_will_not_get_its_turn_is_refused_at_once() {
-    let mut bench = Bench::with_workers(3);
-    assert_eq!(bench.submit(job(1, 0, vec![step(6, 500)])).len(), 6);
-    bench.submit(job(2, 0, vec![step(4, 100)]));
-    assert!(bench.answers().is_empty());
+fn jobs_that_cannot_start_in_time_are_refused_at_once() {
+    let mut dispatcher = TestDispatcher::with_workers(3);
+    assert_eq!(dispatcher.submit(job(1, 0, vec![step(6, 500)])).len(), 6);
+    dispatcher.submit(job(2, 0, vec![step(4, 100)]));
+    assert!(dispatcher.outcomes().is_empty());
     for number in 3..6 {
-        bench.submit(job(number, 0, vec![step(4, 100)]));
-        let answers = bench.answers();
+        dispatcher.submit(job(number, 0, vec![step(4, 100)]));
+        let outcomes = dispatcher.outcomes();
         assert!(
-            matches!(answers[..], [JobOutcome::NotRun { retry_after_ms, .. }] if retry_after_ms >= 1_000),
-            "{answers:?}"
+            matches!(outcomes[..], [JobOutcome::NotRun { retry_after_ms, .. }] if retry_after_ms >= 1_000),
+            "{outcomes:?}"
         );
     }
 }
@@ -453,27 +455,30 @@
 /// kept, and the others hear at once: they used to be held for seconds, while all new work went before them, and were
 /// refused in the end without a try.
 #[test]
-fn a_burst_of_long_jobs_is_kept_as_far_as_it_begins_in_time() {
-    let mut bench = Bench::with_workers(3);
-    let running = bench.submit(job(1, 0, vec![step(6, 500)]));
-    let patient = |number| {
-        let mut patient = job(number, 0, vec![step(1, 900)]);
-        patient.time_left_ms = 6_000;
-        patient
+fn a_burst_of_long_jobs_is_accepted_as_far_as_it_starts_in_time() {
+    let mut dispatcher = TestDispatcher::with_workers(3);
+    let running = dispatcher.submit(job(1, 0, vec![step(6, 500)]));
+    let long_job = |number| {
+        let mut long_job = job(number, 0, vec![step(1, 900)]);
+        long_job.time_left_ms = 6_000;
+        long_job
     };
-    bench.submit(patient(2));
-    assert!(bench.answers().is_empty());
-    bench.submit(patient(3));
-    assert!(bench.answers().is_empty());
+    dispatcher.submit(long_job(2));
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.submit(long_job(3));
+    assert!(dispatcher.outcomes().is_empty());
     for number in 4..8 {
-        bench.submit(patient(number));
-        assert!(matches!(bench.answers()[..], [JobOutcome::NotRun { .. }]));
+        dispatcher.submit(long_job(number));
+        assert!(matches!(
+            dispatcher.outcomes()[..],
+            [JobOutcome::NotRun { .. }]
+        ));
     }
     let mut started = BTreeSet::new();
     for run in &running[..2] {
-        bench.end(*run, RunOutcome::Done);
-        bench.room(run.0, 1, 2);
-        started.extend(bench.starts().iter().map(|(_, run)| run.task.job));
+        dispatcher.end_run(*run, RunOutcome::Done);
+        dispatcher.report_capacity(run.0, 1, 2);
+        started.extend(dispatcher.starts().iter().map(|(_, run)| run.task.job));
     }
     assert_eq!(started, BTreeSet::from([JobId(2), JobId(3)]));
 }
@@ -481,87 +486,87 @@
 /// A queue with a tight objective: even a job that starts at once can hardly be in time. It is taken all the same where it finds room
 /// behind nothing, and is not refused because its estimate leaves less than the usual margin.
 #[test]
-fn a_tight_objective_is_no_reason_to_refuse() {
-    let mut bench = Bench::with_workers(1);
-    let running = bench.submit(job(1, 0, vec![step(2, 100)]));
+fn a_job_with_a_tight_objective_is_accepted() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    let running = dispatcher.submit(job(1, 0, vec![step(2, 100)]));
     let mut tight = job(2, 0, vec![step(1, 1_000)]);
     tight.route = Arc::new(Route {
         stretch: 1.1,
         target_ms: 0,
         ..route(0).as_ref().clone()
     });
-    bench.submit(tight);
-    assert!(bench.answers().is_empty());
-    bench.end(running[0], RunOutcome::Done);
-    bench.room(1, 1, 2);
-    assert_eq!(bench.starts()[0].1.task.job, JobId(2));
+    dispatcher.submit(tight);
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.end_run(running[0], RunOutcome::Done);
+    dispatcher.report_capacity(1, 1, 2);
+    assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
 /// The same full workers, and a job that has time: it waits and is served.
 #[test]
-fn what_has_time_to_wait_is_not_refused() {
-    let mut bench = Bench::with_workers(3);
-    let starts = bench.submit(job(1, 0, vec![step(6, 500)]));
-    bench.submit(job(2, 0, vec![step(1, 900)]));
-    assert!(bench.answers().is_empty());
-    bench.end(starts[0], RunOutcome::Done);
-    bench.room(starts[0].0, 1, 2);
-    assert_eq!(bench.starts()[0].1.task.job, JobId(2));
+fn a_job_that_can_wait_is_not_refused() {
+    let mut dispatcher = TestDispatcher::with_workers(3);
+    let starts = dispatcher.submit(job(1, 0, vec![step(6, 500)]));
+    dispatcher.submit(job(2, 0, vec![step(1, 900)]));
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.end_run(starts[0], RunOutcome::Done);
+    dispatcher.report_capacity(starts[0].0, 1, 2);
+    assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
 /// An order is turned away and its task finds room elsewhere. When the first worker's agent offers room on that account, the
 /// entry says once that it has nothing to start there.
 #[test]
-fn an_offer_that_is_not_needed_is_declined() {
-    let mut bench = Bench::with_workers(2);
-    let starts = bench.submit(job(1, 0, vec![step(1, 400)]));
+fn reserved_capacity_that_is_not_needed_is_declined_once() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    let starts = dispatcher.submit(job(1, 0, vec![step(1, 400)]));
     let (worker, _) = starts[0];
-    bench.end(starts[0], RunOutcome::NotStarted(NotStartedReason::NoRoom));
-    let declines = |bench: &Bench| {
+    dispatcher.end_run(starts[0], RunOutcome::NotStarted(NotStartedReason::NoRoom));
+    let declines = |dispatcher: &TestDispatcher| {
         let is_decline = |action: &&DispatchAction| matches!(action, DispatchAction::Send { link, frame: EntryFrame::Decline } if link.0 == worker);
-        bench.actions.iter().filter(is_decline).count()
+        dispatcher.actions.iter().filter(is_decline).count()
     };
-    bench.room(worker, 0, 1);
-    assert_eq!(declines(&bench), 0);
-    bench.room(worker, 1, 2);
-    assert_eq!(declines(&bench), 1);
-    bench.room(worker, 2, 2);
-    assert_eq!(declines(&bench), 0);
+    dispatcher.report_capacity(worker, 0, 1);
+    assert_eq!(declines(&dispatcher), 0);
+    dispatcher.report_capacity(worker, 1, 2);
+    assert_eq!(declines(&dispatcher), 1);
+    dispatcher.report_capacity(worker, 2, 2);
+    assert_eq!(declines(&dispatcher), 0);
 }
 
 /// All workers are busy for seconds. A job that waits is refused when it can't begin in time any more and there is no room, not when its answer
 /// is of no use or its client stops waiting, and is told when to come back.
 #[test]
-fn a_job_that_did_not_begin_in_time_is_refused_early() {
-    let mut bench = Bench::with_workers(1);
-    bench.submit(job(1, 0, vec![step(2, 2_900)]));
-    bench.submit(job(2, 0, vec![step(1, 60)]));
+fn a_job_that_misses_its_latest_start_is_refused_early() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    dispatcher.submit(job(1, 0, vec![step(2, 2_900)]));
+    dispatcher.submit(job(2, 0, vec![step(1, 60)]));
     // The objective is 156 ms; the task takes up to 75 of it.
-    bench.pass_ms(60);
-    assert!(bench.answers().is_empty());
-    bench.pass_ms(40);
-    let answers = bench.answers();
+    dispatcher.advance_ms(60);
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.advance_ms(40);
+    let outcomes = dispatcher.outcomes();
     assert!(
         matches!(
-            answers[..],
+            outcomes[..],
             [JobOutcome::NotRun {
                 reason: RefusalReason::Overloaded,
                 retry_after_ms: 1..
             }]
         ),
-        "{answers:?}"
+        "{outcomes:?}"
     );
 }
 
 /// Five of eleven workers fail whatever they start, and are left alone one after the other as long as most others are sound. When only a
 /// third could be, the next one went on failing a thousand tasks, and jobs whose tasks may fail once were lost.
 #[test]
-fn all_workers_that_fail_are_left_alone_while_most_are_sound() {
-    let mut bench = Bench::with_workers(11);
+fn all_failing_workers_are_ejected_while_most_are_healthy() {
+    let mut dispatcher = TestDispatcher::with_workers(11);
     let mut failed = 0;
     for number in 1..=300 {
-        bench.now = bench.now.plus_ms(2);
-        for (worker, run) in bench.submit(job(number, 0, vec![step(1, 100)])) {
+        dispatcher.now = dispatcher.now.plus_ms(2);
+        for (worker, run) in dispatcher.submit(job(number, 0, vec![step(1, 100)])) {
             let fails = worker <= 5;
             failed += u32::from(fails);
             let end = if fails {
@@ -569,11 +574,11 @@
             } else {
                 RunOutcome::Done
             };
-            bench.end((worker, run), end);
-            bench.room(worker, ROOM, 1_000);
-            for (worker, run) in bench.starts() {
-                bench.end((worker, run), RunOutcome::Done);
-                bench.room(worker, ROOM, 1_000);
+            dispatcher.end_run((worker, run), end);
+            dispatcher.report_capacity(worker, WORKER_CORES, 1_000);
+            for (worker, run) in dispatcher.starts() {
+                dispatcher.end_run((worker, run), RunOutcome::Done);
+                dispatcher.report_capacity(worker, WORKER_CORES, 1_000);
             }
         }
     }
@@ -582,7 +587,7 @@
 }
 
 /// A job that its client has sent before: most of the time that it can wait is used up.
-fn sent_again(number: u64) -> Submission {
+fn resubmitted_job(number: u64) -> Submission {
     let mut again = job(number, 0, vec![step(1, 100)]);
     again.time_left_ms = 1_000;
     again
@@ -591,64 +596,67 @@
 /// All hosts lose power, and clients send their jobs again beside new ones. What was sent a second ago is late whatever is done for it;
 /// taken for new, it went first, and the new jobs were late, too. The time that its client has left tells it.
 #[test]
-fn jobs_that_come_again_do_not_make_new_ones_late() {
-    let mut bench = Bench::with_workers(1);
-    let running = bench.submit(job(1, 0, vec![step(2, 100)]));
-    bench.submit(sent_again(2));
-    assert!(matches!(bench.answers()[..], [JobOutcome::NotRun { .. }]));
-    bench.submit(job(3, 0, vec![step(1, 100)]));
-    assert!(bench.answers().is_empty());
-    bench.end(running[0], RunOutcome::Done);
-    bench.room(1, 1, 2);
-    assert_eq!(bench.starts()[0].1.task.job, JobId(3));
+fn resubmitted_jobs_do_not_delay_new_ones() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    let running = dispatcher.submit(job(1, 0, vec![step(2, 100)]));
+    dispatcher.submit(resubmitted_job(2));
+    assert!(matches!(
+        dispatcher.outcomes()[..],
+        [JobOutcome::NotRun { .. }]
+    ));
+    dispatcher.submit(job(3, 0, vec![step(1, 100)]));
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.end_run(running[0], RunOutcome::Done);
+    dispatcher.report_capacity(1, 1, 2);
+    assert_eq!(dispatcher.starts()[0].1.task.job, JobId(3));
 }
 
 /// The same, and there is room: the client still waits for the answer and gets it.
 #[test]
-fn a_job_that_comes_again_is_served_where_there_is_room() {
-    let mut bench = Bench::with_workers(1);
-    bench.submit(job(1, 0, vec![step(1, 100)]));
-    assert_eq!(bench.submit(sent_again(2)).len(), 1);
+fn a_resubmitted_job_runs_where_capacity_is_free() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    dispatcher.submit(job(1, 0, vec![step(1, 100)]));
+    assert_eq!(dispatcher.submit(resubmitted_job(2)).len(), 1);
 }
 
 /// Clients of a queue wait for less than its time-out, all of them: none of their jobs counts as sent before.
 #[test]
-fn a_long_time_out_makes_no_job_one_that_comes_again() {
-    let mut bench = Bench::with_workers(1);
+fn a_long_route_timeout_does_not_mark_jobs_as_resubmitted() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
     assert_eq!(route(0).timeout_ms, 5_000);
-    let running = bench.submit(job(1, 0, vec![step(2, 100)]));
-    bench.submit(job(2, 0, vec![step(1, 100)]));
-    assert!(bench.answers().is_empty());
-    bench.end(running[0], RunOutcome::Done);
-    bench.room(1, 1, 2);
-    assert_eq!(bench.starts()[0].1.task.job, JobId(2));
+    let running = dispatcher.submit(job(1, 0, vec![step(2, 100)]));
+    dispatcher.submit(job(2, 0, vec![step(1, 100)]));
+    assert!(dispatcher.outcomes().is_empty());
+    dispatcher.end_run(running[0], RunOutcome::Done);
+    dispatcher.report_capacity(1, 1, 2);
+    assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
 /// A worker stands still and looks healthy. Its run is stopped after four times its estimate, and starts
 /// elsewhere only when the agent has said that it is over.
 #[test]
-fn a_run_that_stands_still_is_moved() {
-    let mut bench = Bench::with_workers(2);
-    let starts = bench.submit(job(1, 0, vec![step(1, 100)]));
-    bench.pass_ms(380);
-    assert_eq!(bench.stops(), 0);
-    bench.pass_ms(40);
-    assert_eq!((bench.stops(), bench.starts().len()), (1, 0));
-    bench.end(starts[0], RunOutcome::Stopped);
-    assert_ne!(bench.starts()[0].0, starts[0].0);
+fn an_overdue_run_is_stopped_and_restarted_elsewhere() {
+    let mut dispatcher = TestDispatcher::with_workers(2);
+    let starts = dispatcher.submit(job(1, 0, vec![step(1, 100)]));
+    dispatcher.advance_ms(380);
+    assert_eq!(dispatcher.stops(), 0);
+    dispatcher.advance_ms(40);
+    assert_eq!((dispatcher.stops(), dispatcher.starts().len()), (1, 0));
+    dispatcher.end_run(starts[0], RunOutcome::Stopped);
+    assert_ne!(dispatcher.starts()[0].0, starts[0].0);
 }
 
 /// An entry is told to end. Clients whose connections are still open send it jobs until these are closed, three seconds
 /// later, and are served. It used to refuse them for the last half second of that.
 #[test]
-fn an_entry_that_is_to_end_serves_until_its_connections_close() {
-    let mut bench = Bench::with_workers(1);
-    bench.feed(DispatchEvent::Shutdown);
-    bench.pass_ms(2_900);
-    assert_eq!(bench.submit(job(1, 0, vec![step(1, 50)])).len(), 1);
-    bench.pass_ms(200);
-    assert!(bench.submit(job(2, 0, vec![step(1, 50)])).is_empty());
-    let answers = bench.answers();
+fn a_leaving_entry_accepts_jobs_until_its_connections_close() {
+    let mut dispatcher = TestDispatcher::with_workers(1);
+    dispatcher.send_event(DispatchEvent::Shutdown);
+    dispatcher.advance_ms(2_900);
+    assert_eq!(dispatcher.submit(job(1, 0, vec![step(1, 50)])).len(), 1);
+    dispatcher.advance_ms(200);
+    assert!(dispatcher.submit(job(2, 0, vec![step(1, 50)])).is_empty());
+    let outcomes = dispatcher.outcomes();
     let reason = RefusalReason::Leaving;
-    assert!(matches!(answers[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
+    assert!(matches!(outcomes[..], [JobOutcome::NotRun { reason: r, .. }] if r == reason));
 }
--- a/src/core/dispatch/worker_link.rs
+++ b/src/core/dispatch/worker_link.rs
@@ -21,9 +21,9 @@
 }
 
 /// Weight of the newest run in the learnt speed; ten runs or so make up most of it.
-const SPEED_WEIGHT: f64 = 0.1;
+const SLOWNESS_WEIGHT: f64 = 0.1;
 /// Bounds of the learnt speed, so that one strange run can't spoil it.
-const SPEED_BOUNDS: (f64, f64) = (0.25, 4.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.25, 4.0);
 
 /// A run that was ordered and is not known to be over.
 #[derive(Debug, Clone, Copy)]
@@ -31,7 +31,7 @@
     pub(super) job: JobKey,
     /// The task's position in the job.
     pub(super) task: usize,
-    pub(super) ordered_at: Instant,
+    pub(super) start_sent_at: Instant,
     pub(super) estimate_ms: u64,
     /// A stop was sent.
     pub(super) stopping: bool,
@@ -49,11 +49,11 @@
     /// Newest time stamp of the agent, in microseconds on its clock.
     pub(super) stamp_us: u64,
     /// When that stamp arrived: upper bound of the right that its echo gives.
-    pub(super) stamped_at: Instant,
+    pub(super) stamp_received_at: Instant,
     /// When the agent was last heard.
-    pub(super) heard_at: Instant,
+    pub(super) last_heard_at: Instant,
     /// When the last beat was sent.
-    pub(super) beat_at: Option<Instant>,
+    pub(super) heartbeat_sent_at: Option<Instant>,
     /// Runs that may be at work there.
     pub(super) runs: BTreeMap<RunId, OpenRun>,
     /// What became of its tasks.
@@ -63,7 +63,7 @@
     /// Run time divided by the clients' estimates.
     pub(super) slowness: f64,
     /// An order was turned away for want of room; the agent keeps that in mind and offers room in turn.
-    wishes: bool,
+    capacity_requested: bool,
     report: CapacityReport,
     starts_sent: u32,
     /// Orders that the report does not take account of.
@@ -77,14 +77,14 @@
             link: None,
             view: None,
             stamp_us: 0,
-            stamped_at: now,
-            heard_at: now,
-            beat_at: None,
+            stamp_received_at: now,
+            last_heard_at: now,
+            heartbeat_sent_at: None,
             runs: BTreeMap::new(),
             health: RunnerHealth::default(),
             paused_until: now,
             slowness: 1.0,
-            wishes: false,
+            capacity_requested: false,
             report: CapacityReport::default(),
             starts_sent: 0,
             unreported: VecDeque::new(),
@@ -92,32 +92,32 @@
     }
 
     /// Begins with a new session.
-    pub(super) fn open(&mut self, now: Instant, link: LinkId, stamp_us: u64) {
+    pub(super) fn open_session(&mut self, now: Instant, link: LinkId, stamp_us: u64) {
         self.link = Some(link);
         self.view = None;
-        self.heard_at = now;
-        self.beat_at = None;
+        self.last_heard_at = now;
+        self.heartbeat_sent_at = None;
         self.stamp_us = stamp_us;
-        self.stamped_at = now;
-        self.wishes = false;
+        self.stamp_received_at = now;
+        self.capacity_requested = false;
         self.report = CapacityReport::default();
         self.starts_sent = 0;
         self.unreported.clear();
     }
 
-    pub(super) fn note_stamp(&mut self, now: Instant, stamp_us: u64) {
+    pub(super) fn record_stamp(&mut self, now: Instant, stamp_us: u64) {
         if stamp_us > self.stamp_us {
             self.stamp_us = stamp_us;
-            self.stamped_at = now;
+            self.stamp_received_at = now;
         }
     }
 
-    pub(super) fn note_start(&mut self, needs: Resources) {
+    pub(super) fn record_start(&mut self, needs: Resources) {
         self.starts_sent += 1;
         self.unreported.push_back((self.starts_sent, needs));
     }
 
-    pub(super) fn note_room(&mut self, report: CapacityReport) {
+    pub(super) fn record_capacity(&mut self, report: CapacityReport) {
         self.report = report;
         while self
             .unreported
@@ -129,16 +129,17 @@
     }
 
     /// Notes that an order was turned away for want of room.
-    pub(super) const fn note_no_room(&mut self) {
-        self.wishes = true;
+    pub(super) const fn record_no_room(&mut self) {
+        self.capacity_requested = true;
     }
 
     /// Whether room that the agent offers on account of an order that it turned away is left unused; it is
     /// to be told so once.
-    pub(super) fn declines(&mut self) -> bool {
-        let declines = self.wishes && self.report.free.cpu_milli > 0 && self.unreported.is_empty();
-        self.wishes &= !declines;
-        declines
+    pub(super) fn clear_unused_request(&mut self) -> bool {
+        let is_unused =
+            self.capacity_requested && self.report.free.cpu_milli > 0 && self.unreported.is_empty();
+        self.capacity_requested &= !is_unused;
+        is_unused
     }
 
     /// The worker, if it takes tasks of this step at all.
@@ -147,12 +148,12 @@
         now: Instant,
         job: &Job,
         step: &StepSpec,
-        news: Option<&EvacuatedZones>,
+        zones: Option<&EvacuatedZones>,
     ) -> Option<&WorkerView> {
         let view = self.view.as_ref()?;
         let has_label = |label: &String| view.labels.contains(label);
         let is_evacuated =
-            news.is_some_and(|news| news.evacuated.contains(&view.availability_zone));
+            zones.is_some_and(|zones| zones.evacuated.contains(&view.availability_zone));
         let is_usable = self.link.is_some()
             && !view.draining
             && view.service == job.route.service
@@ -168,9 +169,9 @@
     }
 
     /// What is free there, less what was ordered since the agent's report.
-    pub(super) fn free(&self) -> Resources {
-        let ordered = self.unreported.iter();
-        ordered.fold(self.report.free, |free, (_, needs)| free.minus(*needs))
+    pub(super) fn free_capacity(&self) -> Resources {
+        let starts = self.unreported.iter();
+        starts.fold(self.report.free, |free, (_, needs)| free.minus(*needs))
     }
 
     /// Whether another order like this may be sent before the agent's next report.
@@ -180,19 +181,19 @@
     /// room and would fill it by itself, and the worker would turn all but one of them away, again and
     /// again. An entry therefore has no more under way than its share of the room that was reported;
     /// one that orders alone gets its share of what is left with each report, two milliseconds apart.
-    pub(super) fn may_order(&self, needs: Resources) -> bool {
+    pub(super) fn may_send_start(&self, needs: Resources) -> bool {
         let entries = u32::from(self.report.entries).max(1);
         let share = needs.times_in(self.report.free).div_ceil(entries);
-        u32::try_from(self.unreported.len()).is_ok_and(|under_way| under_way < share)
+        u32::try_from(self.unreported.len()).is_ok_and(|in_flight| in_flight < share)
     }
 
     /// Learns how its run times compare with the estimates.
-    pub(super) fn note_run(&mut self, ran_ms: u64, estimate_ms: u64) {
+    pub(super) fn record_run(&mut self, ran_ms: u64, estimate_ms: u64) {
         if estimate_ms == 0 {
             return;
         }
-        let (least, most) = SPEED_BOUNDS;
-        let ratio = (ran_ms as f64 / estimate_ms as f64).clamp(least, most);
-        self.slowness += (ratio - self.slowness) * SPEED_WEIGHT;
+        let (lowest, highest) = SLOWNESS_BOUNDS;
+        let ratio = (ran_ms as f64 / estimate_ms as f64).clamp(lowest, highest);
+        self.slowness += (ratio - self.slowness) * SLOWNESS_WEIGHT;
     }
 }
--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -124,7 +124,7 @@
     ClientAnswer {
         client: usize,
         call: (usize, u64, u64),
-        answer: JobOutcome,
+        outcome: JobOutcome,
     },
     ClientBreak {
         client: usize,
@@ -392,8 +392,8 @@
             Event::ClientAnswer {
                 client,
                 call,
-                answer,
-            } => self.answer_client(client, call, answer),
+                outcome,
+            } => self.answer_client(client, call, outcome),
             Event::ClientBreak { client } => self.break_client(client),
             Event::ClientDeadline { client } => self.end_client(client),
             Event::Fault(fault) => self.begin(fault),
@@ -450,20 +450,20 @@
                     self.at(at, Event::LostAtAgent { link: link.0 });
                 }
             }
-            DispatchAction::Reply { waiter, answer } => {
+            DispatchAction::Reply { waiter, outcome } => {
                 let call = (entry, life, waiter.0);
                 if let Some(client) = self.waiters.remove(&call) {
                     self.soon(Event::ClientAnswer {
                         client,
                         call,
-                        answer,
+                        outcome,
                     });
                 }
             }
             DispatchAction::ApplyEvacuatedZones(news) => {
                 self.feed_entry(entry, DispatchEvent::EvacuatedZones(news))
             }
-            DispatchAction::TakeDocument(document) => {
+            DispatchAction::ApplyDocument(document) => {
                 self.feed_entry(entry, DispatchEvent::Document(document));
             }
             DispatchAction::Log(note) => self.trace(format!("entry {entry}: {note:?}")),
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -146,19 +146,19 @@
                 DispatchAction::Close { link } => {
                     self.links.remove(&link);
                 }
-                DispatchAction::Reply { waiter, answer } => {
-                    let (name, reason) = answer.name_and_reason();
+                DispatchAction::Reply { waiter, outcome } => {
+                    let (name, reason) = outcome.name_and_reason();
                     self.metrics.count(Counter::Answers, name);
-                    if matches!(answer, JobOutcome::NotRun { .. }) {
+                    if matches!(outcome, JobOutcome::NotRun { .. }) {
                         self.metrics.count(Counter::Refusals, reason);
                     }
                     // A client that has gone meanwhile takes no answer.
                     if let Some(waiting) = self.waiters.remove(&waiter) {
-                        let _ = waiting.send(answer);
+                        let _ = waiting.send(outcome);
                     }
                 }
                 DispatchAction::ApplyEvacuatedZones(news) => self.news.take_news(news, "agent"),
-                DispatchAction::TakeDocument(document) => {
+                DispatchAction::ApplyDocument(document) => {
                     self.news.take_document(document, "agent");
                 }
                 DispatchAction::Log(decision) => self.write_down(&decision),
