--- a/src/core/dispatch/admission.rs
+++ b/src/core/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! What is taken in, and what is given up.
+//! Accepts, refuses and gives up jobs.
 
 use {
     super::{
@@ -12,18 +12,18 @@
     },
 };
 
-/// Most tasks of one job.
 const MAX_TASKS_PER_JOB: usize = 1_000;
-/// When to come back after an entry said that it ends, in milliseconds: its connections are then
-/// with others.
+/// Retry-After sent by a leaving entry, in milliseconds; by then the client's connections lead to
+/// other entries.
 const LEAVING_RETRY_AFTER_MS: u64 = 1_000;
-/// When to come back where the load decides, in milliseconds: most tasks end within a second, so
-/// the queue is another one by then.
+/// Retry-After sent under overload, in milliseconds. Most tasks finish within a second, so the
+/// queue has changed by then.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 1_000;
-/// For how long an entry that is to end still takes jobs, in milliseconds.
+/// How long a leaving entry still accepts jobs, in milliseconds.
 ///
-/// The balancer needs two failed probes, a second apart, to send its clients elsewhere, and clients with an open
-/// connection come until it is closed, a second after that. What is taken last has half the usual grace of 6 s left.
+/// The load balancer needs two failed probes, one second apart, to remove the entry, and closes
+/// open connections one second later. Jobs accepted last have half of the usual 6 s grace period
+/// left.
 const LEAVING_ACCEPT_MS: u64 = 3_000;
 
 impl Dispatcher {
@@ -91,7 +91,7 @@
         None
     }
 
-    /// Takes a job in whose runs are numbered from `first_run`.
+    /// Accepts a job and numbers its runs from `first_run`.
     pub(super) fn accept(&mut self, now: Instant, submission: Submission, first_run: u32) {
         let (id, waiter) = (submission.id, submission.waiter);
         let waited_ms = self
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Gives a job up when the last of its clients has gone: nobody would get the answer, and a
-    /// copy of the job may come to another entry, which must find nothing of it at work.
+    /// Gives up a job when its last client has disconnected: nobody waits for the outcome, and the
+    /// client may submit the job to another entry, which must not run it at the same time.
     pub(super) fn on_client_gone(&mut self, now: Instant, waiter: WaiterId) {
         for held in self.held_copies.values_mut() {
             held.retain(|submission| submission.waiter != waiter);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Ends jobs that can't be done before their client stops waiting.
+    /// Closes jobs whose clients no longer wait.
     pub(super) fn end_expired_jobs(&mut self, now: Instant) {
         let expired: Vec<(JobKey, JobOutcome)> = self
             .jobs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Gives up a job of which a task waits that could not be done any more.
+    /// Gives up a job with a waiting task that can't finish in time.
     pub(super) fn give_up(&mut self, now: Instant, key: JobKey) {
         if let Some(job) = self.jobs.get(key) {
             let outcome = final_outcome(job, GiveUpReason::Overloaded);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Forgets a closed job once nothing of it runs, and begins with a copy that was held.
+    /// Drops a closed job once none of its runs is open.
     pub(super) fn remove_if_finished(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Begins with held copies of jobs of which nothing is left.
+    /// Drops a closed job once none of its runs is open, and accepts the held copies of it.
     pub(super) fn release_held_copies(&mut self, now: Instant, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -190,7 +190,7 @@
     }
 }
 
-/// "Not run" where that is certain, else that tasks may have run.
+/// "Not run" if no task can have started, otherwise "given up".
 pub(super) fn final_outcome(job: &Job, reason: GiveUpReason) -> JobOutcome {
     if job.has_begun() {
         return JobOutcome::GivenUp(reason);
@@ -206,7 +206,8 @@
     }
 }
 
-/// Whether the job has tasks, not too many, and steps that refer to earlier ones only.
+/// Whether the job has between one and [`MAX_TASKS_PER_JOB`] tasks, none of its steps is empty, and
+/// steps depend on earlier ones only.
 fn is_valid(request: &JobRequest) -> bool {
     let refers_back = |(number, step): (u16, &StepSpec)| {
         step.tasks > 0 && step.after.iter().all(|before| *before < number)
--- a/src/core/dispatch/arrival_rate.rs
+++ b/src/core/dispatch/arrival_rate.rs
@@ -1,12 +1,12 @@
-//! How fast work comes.
+//! Rate of arriving work.
 
 use {crate::core::time::Instant, std::collections::BTreeMap};
 
-/// Time over which arrivals fade, in milliseconds: long enough for some hundred tasks at the smallest
-/// site's share of an entry, short enough to see a burst of some seconds begin and end.
+/// Time constant of the exponential decay, in milliseconds. It spans some hundred tasks even at one
+/// entry of a small site, and still follows bursts of a few seconds.
 const DECAY_TIME_MS: u64 = 1_000;
 
-/// Work that was handed in of late, by priority.
+/// Exponentially decaying sum of the submitted work, by priority.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRate {
     by_priority: BTreeMap<u32, DecayingSum>,
@@ -26,14 +26,13 @@
 }
 
 impl ArrivalRate {
-    /// Notes the work of a job that was taken in.
     pub(super) fn record(&mut self, now: Instant, priority: u32, work_ms: u64) {
         let sum = self.by_priority.entry(priority).or_default();
         sum.work_ms = sum.at(now) + work_ms as f64;
         sum.updated_at = now;
     }
 
-    /// Work of jobs that are more urgent than these, in milliseconds of work a millisecond.
+    /// Arrival rate of work with a more urgent priority, in milliseconds of work per millisecond.
     pub(super) fn more_urgent_than(&self, now: Instant, priority: u32) -> f64 {
         let sums = self.by_priority.range(..priority);
         sums.map(|(_, sum)| sum.at(now)).sum::<f64>() / DECAY_TIME_MS as f64
--- a/src/core/dispatch/client_deadlines.rs
+++ b/src/core/dispatch/client_deadlines.rs
@@ -1,28 +1,28 @@
-//! How long clients wait for an answer, and how much of that a job has used up when it comes.
+//! Estimates from clients' deadlines for how long they have already waited.
 
 use {crate::core::routes::Route, std::collections::BTreeMap};
 
-/// Weight of a job that has more time left than the usual, in the learnt figure.
+/// Weight of a job with more than the usual time left, in the moving average.
 const INCREASE_WEIGHT: f64 = 0.3;
-/// Weight of one that has less: jobs that come again after a break have less, and many of them come together.
+/// Weight of a job with less than the usual time left. It is low because jobs submitted again have
+/// less time left and arrive in large numbers after an outage.
 const DECREASE_WEIGHT: f64 = 0.02;
-/// A job with less than this share of the usual time left has been sent before.
+/// A job with less than this share of the usual time left counts as submitted again.
 ///
-/// Guards against a time-out in the configuration that is longer than clients of the queue wait: all of its
-/// jobs would seem to come again.
+/// The usual time left is used because the route's timeout may be longer than its clients wait.
 const MIN_TIME_LEFT_SHARE: f64 = 0.7;
 
-/// The time that clients of each queue usually have left when their jobs come.
+/// Moving average of the time left at submission, by route.
 #[derive(Debug, Default)]
 pub(super) struct ClientDeadlines {
     usual_ms: BTreeMap<String, f64>,
 }
 
 impl ClientDeadlines {
-    /// Takes in how much time a job has left; for how long its client has waited already, at least.
+    /// Records a job's time left and returns how long its client has waited at least.
     ///
-    /// Load that this answers: clients that come back after an outage, all within a second. The time that they
-    /// have left counts from their first try, and a fresh client waits for the queue's time-out or longer.
+    /// After an outage all clients submit their jobs again within a second. Their time left counts
+    /// from their first attempt, while a new client waits for the route's timeout or longer.
     pub(super) fn estimate_waited_ms(&mut self, route: &Route, time_left_ms: u64) -> u64 {
         let left_ms = time_left_ms as f64;
         let usual_ms = self.usual_ms.entry(route.name.clone()).or_insert(left_ms);
--- a/src/core/dispatch/connectivity.rs
+++ b/src/core/dispatch/connectivity.rs
@@ -1,4 +1,4 @@
-//! An entry that was suspended or cut off.
+//! Detects that the entry was suspended or isolated.
 
 use {
     super::{
@@ -8,15 +8,15 @@
     crate::core::time::Instant,
 };
 
-/// Time after a suspension in which nothing starts, in milliseconds: long enough to read what lies in the
-/// sockets, above all that clients have gone.
+/// Time after a suspension in which nothing starts, in milliseconds: pending input, above all
+/// disconnected clients, is read first.
 const RESUME_DELAY_MS: u64 = 100;
 
-/// When this entry was last at work and in touch.
+/// When this entry last handled events and last received a frame.
 #[derive(Debug, Default)]
 pub(super) struct Connectivity {
     last_handled_at: Option<Instant>,
-    /// The newest word of any agent, or when the entry began to wait for one.
+    /// When a frame last arrived from any agent; initially when the entry started.
     last_heard_at: Instant,
     resume_at: Instant,
 }
@@ -26,18 +26,18 @@
         self.last_heard_at = now;
     }
 
-    /// Whether tasks may be ordered.
+    /// Whether start orders may be sent.
     pub(super) fn may_start(&self, now: Instant) -> bool {
         now >= self.resume_at
     }
 }
 
 impl Dispatcher {
-    /// Finds that the process did nothing for a while.
+    /// Detects that the process was suspended.
     ///
-    /// Guards against two runs of a task: meanwhile its agents have stopped what it had started, and its clients may
-    /// have sent their jobs to other entries. All sessions are given up, jobs are ended if a copy
-    /// may run elsewhere, and nothing starts before what lies in the sockets has been read.
+    /// Meanwhile the agents have stopped its runs, and its clients may have submitted their jobs to
+    /// other entries. To prevent two runs of a task, all sessions are closed, jobs that may run
+    /// elsewhere are ended, and nothing starts until the pending input has been read.
     pub(super) fn detect_suspension(&mut self, now: Instant) {
         let Some(last_handled_at) = self.connectivity.last_handled_at.replace(now) else {
             self.connectivity.last_heard_at = now;
@@ -58,12 +58,12 @@
         self.end_isolated_jobs(now);
     }
 
-    /// Gives up jobs of which a copy may run elsewhere.
+    /// Gives up jobs that may run elsewhere.
     ///
-    /// Without word from any agent for long, this entry may be the one that is cut off: its agents have stopped
-    /// what it had started, and a client that broke off, unseen from here, may have sent its
-    /// job to another entry. A client that still waits sends its job again on "may have run", and comes
-    /// back to an entry that has agents where nothing of it was started.
+    /// Without frames from any agent this entry may be isolated: its agents have stopped its runs,
+    /// and a client whose disconnect it has not seen may have submitted its job to another entry. A
+    /// client that still waits retries on "may have run", and retries at an entry with agents if
+    /// nothing was started.
     pub(super) fn end_isolated_jobs(&mut self, now: Instant) {
         let isolation_ms = self.settings.limits.isolation_ms;
         let last_heard_at = self.connectivity.last_heard_at;
--- a/src/core/dispatch/dispatch_event.rs
+++ b/src/core/dispatch/dispatch_event.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatcher and what comes out.
+//! Events and actions of the dispatcher.
 
 use {
     super::DispatchLogEvent,
@@ -13,21 +13,21 @@
 };
 
 reasons! {
-    /// Why a job was not taken or was given up before any of its tasks could have started.
+    /// Why a job was refused, or was given up before any of its tasks could have started.
     RefusalReason {
-        /// It asks for something that is not built.
+        /// It uses a feature that is not implemented.
         Unsupported => "unsupported",
-        /// It has no tasks, too many, or steps that refer to later ones.
+        /// It has no tasks, too many tasks, or steps that depend on later ones.
         BadJob => "bad_job",
-        /// No worker that is known could ever hold one of its tasks.
+        /// No known worker is large enough for one of its tasks.
         TooLarge => "too_large",
-        /// Its tasks could not start in time to be done by the client's deadline.
+        /// Its tasks could not start in time to finish before the client's deadline.
         Overloaded => "overloaded",
         /// The deadline passed before a task was started.
         DeadlinePassed => "deadline_passed",
-        /// The entry is about to end.
+        /// The entry is shutting down.
         Leaving => "leaving",
-        /// This entry had no word from any agent for too long.
+        /// This entry has received nothing from any agent for too long.
         Isolated => "isolated",
     }
 }
@@ -35,116 +35,95 @@
 reasons! {
     /// Why a job was given up whose tasks may have run.
     GiveUpReason {
-        /// All its clients have gone.
+        /// All its clients have disconnected.
         ClientGone => "client_gone",
         /// The deadline passed.
         DeadlinePassed => "deadline_passed",
-        /// The rest of it could not be done while its answer was of use.
+        /// Its remaining tasks could not finish in time.
         Overloaded => "overloaded",
-        /// This entry was cut off, and a copy of the job may run elsewhere.
+        /// This entry was isolated, and a copy of the job may run elsewhere.
         Isolated => "isolated",
     }
 }
 
-/// Names a client's call that waits in this process.
+/// Identifies a client's pending call in this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaiterId(pub(crate) u64);
 
-/// Names one session of this process with an agent.
+/// Identifies a session of this process with an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LinkId(pub(crate) u64);
 
-/// A job that was handed in.
+/// A submitted job.
 #[derive(Debug)]
 pub(crate) struct Submission {
-    /// Who waits for the answer.
+    /// The call that waits for the outcome.
     pub(crate) waiter: WaiterId,
-    /// The job's identity.
     pub(crate) id: JobId,
-    /// The job.
     pub(crate) request: JobRequest,
-    /// Its queue.
     pub(crate) route: Arc<Route>,
     /// Time until the client stops waiting.
     pub(crate) time_left_ms: u64,
 }
 
-/// The final answer to a job.
+/// The final outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobOutcome {
     /// All tasks are done.
     Completed,
-    /// A task has failed too often.
+    /// A task failed in all its attempts.
     Failed,
-    /// Nothing of it ran, and nothing will on account of this call.
+    /// None of its tasks has run, and none will due to this call.
     NotRun {
-        /// Why.
         reason: RefusalReason,
-        /// When to come back; zero if that can't help.
+        /// When to retry; zero if a retry can't succeed.
         retry_after_ms: u64,
     },
-    /// It was given up; tasks of it may have run.
+    /// It was given up; some of its tasks may have run.
     GivenUp(GiveUpReason),
 }
 
-/// Something that the dispatcher has to react to.
+/// An input of the dispatcher.
 #[derive(Debug)]
 pub(crate) enum DispatchEvent {
-    /// A job was handed in.
+    /// A client submitted a job.
     Submit(Submission),
-    /// A client's connection is gone.
-    ClientGone {
-        /// Who waited.
-        waiter: WaiterId,
-    },
-    /// A frame came in on a session; the first one is the agent's hello.
-    Frame {
-        /// The session.
-        link: LinkId,
-        /// The frame.
-        frame: AgentFrame,
-    },
-    /// A session is lost.
-    LinkLost {
-        /// The session.
-        link: LinkId,
-    },
-    /// Newer news, and the zones that it takes out.
+    /// A client has disconnected.
+    ClientGone { waiter: WaiterId },
+    /// A frame arrived on a session; the first one is the agent's hello.
+    Frame { link: LinkId, frame: AgentFrame },
+    /// A session has ended.
+    LinkLost { link: LinkId },
+    /// The evacuated zones at a newer store version.
     EvacuatedZones(EvacuatedZones),
-    /// A newer document, to be given to agents.
+    /// A newer document, which agents are to hold.
     Document(Document),
-    /// The process is to end.
+    /// The process is shutting down.
     Shutdown,
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// What the dispatcher wants done.
+/// An output of the dispatcher.
 #[derive(Debug, PartialEq)]
 pub(crate) enum DispatchAction {
-    /// Send a frame.
     Send {
-        /// The session.
         link: LinkId,
-        /// The frame.
         frame: EntryFrame,
     },
-    /// Give a session up.
+    /// Close a session.
     Close {
-        /// The session.
         link: LinkId,
     },
-    /// Answer a client.
+    /// Reply to a client.
     Reply {
-        /// Who waits.
         waiter: WaiterId,
-        /// The answer.
         outcome: JobOutcome,
     },
-    /// An agent knows newer news than this entry.
+    /// An agent sent zones that may be newer than this entry's.
     ApplyEvacuatedZones(EvacuatedZones),
     /// A newer document was fetched from an agent.
     ApplyDocument(Document),
-    /// Write a line of the log.
+    /// Write a log event.
     Log(DispatchLogEvent),
 }
--- a/src/core/dispatch/dispatch_log_event.rs
+++ b/src/core/dispatch/dispatch_log_event.rs
@@ -1,175 +1,139 @@
-//! Decisions of the dispatcher, for the log.
+//! Log events of the dispatcher.
 
 use serde::Serialize;
 
-/// One decision with what it was based on.
+/// One log event with the figures that the decision was based on.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum DispatchLogEvent {
-    /// A job was taken in.
+    /// A job was accepted.
     JobTaken {
-        /// The job.
         job: String,
-        /// Its queue.
         route: String,
-        /// Its tasks.
+        /// Number of tasks.
         tasks: usize,
         /// Time until the client stops waiting.
         time_left_ms: u64,
-        /// For how long its client had waited already, at least, in milliseconds.
+        /// Estimated time that the client had already waited.
         waited_ms: u64,
-        /// Time within which an answer counts as in time.
+        /// Time within which an outcome counts as in time.
         objective_ms: u64,
-        /// Tasks that wait already.
+        /// Tasks that were already waiting.
         queued: usize,
     },
-    /// A job was not taken in.
+    /// A job was refused.
     JobRefused {
-        /// The job.
         job: String,
-        /// Its queue.
         route: String,
-        /// Why.
         reason: &'static str,
-        /// What it asks for that is not built, if that is why.
+        /// The unsupported feature, if that is the reason.
         feature: &'static str,
-        /// When the client was told to come back; zero if that can't help.
+        /// When the client should retry; zero if a retry can't succeed.
         retry_after_ms: u64,
-        /// Tasks that wait already.
+        /// Tasks that were already waiting.
         queued: usize,
     },
-    /// A copy of a job that is under way was handed in; it waits for the same answer.
-    JobJoined {
-        /// The job.
-        job: String,
-    },
-    /// A copy of a job whose stopped runs are not over was handed in; it begins after them.
+    /// A copy of an open job was submitted; it waits for the same outcome.
+    JobJoined { job: String },
+    /// A copy of a closed job was submitted; it starts when the stopped runs have ended.
     JobHeld {
-        /// The job.
         job: String,
-        /// Runs that are not over.
+        /// Runs that have not ended.
         runs: usize,
     },
-    /// A job has its final answer.
+    /// A job has its final outcome.
     JobAnswered {
-        /// The job.
         job: String,
-        /// Its queue.
         route: String,
-        /// The answer.
+        /// Name of the outcome.
         answer: &'static str,
-        /// Why, where it was refused or given up.
+        /// Why it was refused or given up; empty otherwise.
         reason: &'static str,
-        /// Time since it was handed in.
+        /// Time since submission.
         took_ms: u64,
-        /// Time within which an answer counts as in time.
+        /// Time within which an outcome counts as in time.
         objective_ms: u64,
-        /// Time from handing in until its last task had started.
+        /// Time from submission to the last start.
         waited_ms: u64,
         /// Start orders sent.
         starts: u32,
-        /// Runs that failed.
         failed_runs: u32,
         /// Tasks that were not done.
         left: usize,
     },
-    /// A run came to another end than done.
+    /// A run ended without success.
     RunLost {
-        /// The job.
         job: String,
-        /// The run.
         run: String,
-        /// The agent.
         agent: String,
-        /// Its end.
+        /// The run's outcome.
         end: &'static str,
         /// Time since the start order.
         after_ms: u64,
-        /// Age of the agent's last word.
+        /// Time since the agent was last heard from.
         heard_ms_ago: u64,
     },
-    /// A run takes far longer than estimated; it is stopped, to be started elsewhere.
+    /// A run exceeds its estimate by far; it is stopped and will be restarted elsewhere.
     RunOverdue {
-        /// The job.
         job: String,
-        /// The run.
         run: String,
-        /// The agent.
         agent: String,
         /// Time since the start order.
         after_ms: u64,
         /// The client's estimate.
         estimate_ms: u64,
     },
-    /// The process did nothing for a while: it was suspended or got no processor time.
+    /// The process was suspended or got no CPU time.
     Woke {
-        /// For how long.
+        /// Duration of the gap.
         after_ms: u64,
-        /// Jobs that are open.
+        /// Number of open jobs.
         open: usize,
     },
-    /// A job is given up, since this entry may be cut off and a copy of the job run elsewhere.
+    /// A job is given up because this entry may be isolated and a copy of the job may run
+    /// elsewhere.
     JobIsolated {
-        /// The job.
         job: String,
-        /// Age of the newest word of any agent.
+        /// Time since any agent was last heard from.
         heard_ms_ago: u64,
     },
-    /// An agent's session is open.
-    AgentConnected {
-        /// The agent.
-        agent: String,
-    },
-    /// A hello is older than what is known of its agent; the session is given up.
-    HelloOutdated {
-        /// The agent.
-        agent: String,
-    },
-    /// An agent's session is lost or given up.
+    /// A session with an agent was opened.
+    AgentConnected { agent: String },
+    /// A hello is older than the agent's latest timestamp; the session is closed.
+    HelloOutdated { agent: String },
+    /// A session with an agent has ended.
     AgentLost {
-        /// The agent.
         agent: String,
-        /// Why.
         cause: &'static str,
-        /// Age of its last word.
+        /// Time since the agent was last heard from.
         heard_ms_ago: u64,
-        /// Runs that are in doubt.
+        /// Runs with an unknown outcome.
         runs: usize,
-        /// Time until they are certainly over.
+        /// Time until they have certainly ended.
         over_in_ms: u64,
     },
     /// An agent's worker has changed.
     WorkerChanged {
-        /// The agent.
         agent: String,
-        /// The worker's name; empty if there is none to use.
+        /// The worker's id; empty if the agent has no usable worker.
         worker: String,
-        /// Whether it is about to end.
+        /// Whether it is draining.
         draining: bool,
     },
-    /// A worker is left alone because of what became of its tasks.
-    WorkerEjected {
-        /// The agent.
-        agent: String,
-        /// Why.
-        reason: &'static str,
-    },
+    /// A worker was ejected because of the results of its tasks.
+    WorkerEjected { agent: String, reason: &'static str },
     /// The operators' document was fetched from an agent.
     DocumentFetched {
-        /// The agent.
         agent: String,
-        /// Its revision.
         revision: u64,
-        /// Its length.
         bytes: usize,
-        /// For how long it was fetched.
+        /// Duration of the fetch.
         took_ms: u64,
     },
-    /// Newer news is gone by.
+    /// Newer evacuated zones are in force.
     NewsInForce {
-        /// Its version.
+        /// The store version.
         version: u64,
-        /// Zones that are taken out.
         evacuated: Vec<String>,
     },
 }
--- a/src/core/dispatch/dispatcher.rs
+++ b/src/core/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher machine.
+//! The dispatcher's state and its event handling.
 
 use {
     super::{
@@ -24,23 +24,24 @@
     std::{collections::BTreeMap, mem},
 };
 
-/// What a dispatcher takes from its settings.
+/// Settings of a dispatcher.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DispatchSettings {
-    /// Bounds that agents go by, too.
+    /// Time limits of runs, shared with the agents.
     pub(crate) limits: RunLimits,
-    /// Seed of the draws among workers; entries with the same one would choose alike.
+    /// Seed for the random choice of workers; it differs between entries, so that they choose
+    /// differently.
     pub(crate) seed: u64,
 }
 
-/// Keeps the jobs that its entry took and hands their tasks to agents.
+/// Tracks the jobs that its entry has accepted and dispatches their tasks to agents.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     pub(super) settings: DispatchSettings,
     pub(super) jobs: SlotMap<JobKey, Job>,
     pub(super) by_id: BTreeMap<JobId, JobKey>,
     pub(super) by_waiter: BTreeMap<WaiterId, JobKey>,
-    /// Copies of jobs whose stopped runs are not over.
+    /// Copies of closed jobs that wait until the stopped runs have ended.
     pub(super) held_copies: BTreeMap<JobId, Vec<Submission>>,
     pub(super) queue: TaskQueue,
     pub(super) workers: SlotMap<WorkerKey, WorkerLink>,
@@ -48,26 +49,23 @@
     pub(super) by_link: BTreeMap<LinkId, WorkerKey>,
     pub(super) zones: Option<EvacuatedZones>,
     pub(super) document: DocumentCopy<LinkId>,
-    /// An agent holds a newer document than this entry since then.
+    /// Since when an agent has held a newer document than this entry.
     pub(super) document_behind_since: Option<Instant>,
     pub(super) leaving_since: Option<Instant>,
     pub(super) connectivity: Connectivity,
-    /// How fast the entry gets through its work, as reckoned last.
+    /// Latest estimate.
     pub(super) throughput: Throughput,
     pub(super) rng: ChaCha8Rng,
-    /// How long clients wait.
     pub(super) client_deadlines: ClientDeadlines,
-    /// How fast work comes.
     pub(super) arrivals: ArrivalRate,
-    /// Jobs that were taken in with the events that are handled.
+    /// Jobs accepted in the current batch of events.
     pub(super) new_jobs: Vec<JobKey>,
-    /// Workers whose agents have told of room in the events that are handled.
+    /// Workers whose agents reported free capacity in the current batch of events.
     pub(super) capacity_reported: Vec<WorkerKey>,
     pub(super) actions: Vec<DispatchAction>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without jobs and agents.
     pub(crate) fn new(settings: DispatchSettings) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
@@ -94,26 +92,26 @@
         }
     }
 
-    /// Jobs that wait for their answer.
+    /// Number of jobs whose clients wait for an outcome.
     pub(crate) fn open_jobs(&self) -> usize {
         self.jobs.values().filter(|job| !job.closed).count()
     }
 
-    /// Whether some worker can take tasks.
+    /// Whether any worker accepts tasks.
     pub(crate) fn has_workers(&self) -> bool {
         self.workers
             .values()
             .any(|worker| worker.link.is_some() && worker.view.is_some())
     }
 
-    /// Open jobs of a queue of which nothing has started.
+    /// Number of open jobs of a route without any started task.
     pub(crate) fn pending(&self, route: &str) -> usize {
         let open = self.jobs.values().filter(|job| !job.closed);
         open.filter(|job| job.starts == 0 && job.route.name == route)
             .count()
     }
 
-    /// Takes in events that arrived together and says what to do about them.
+    /// Handles a batch of events and returns the resulting actions.
     pub(crate) fn handle(
         &mut self,
         now: Instant,
@@ -154,7 +152,7 @@
         self.stop_overdue_runs(now);
     }
 
-    /// Gives the final answer to everybody who waits for a job.
+    /// Closes a job and sends its outcome to all waiters.
     pub(super) fn finish_job(&mut self, now: Instant, key: JobKey, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -182,7 +180,7 @@
         self.close_job(key);
     }
 
-    /// Answers a call whose job was not taken in.
+    /// Rejects a submission that was not accepted as a job.
     pub(super) fn refuse(&mut self, waiter: WaiterId, reason: RefusalReason, retry_after_ms: u64) {
         let outcome = JobOutcome::NotRun {
             reason,
@@ -191,7 +189,7 @@
         self.actions.push(DispatchAction::Reply { waiter, outcome });
     }
 
-    /// Stops what is left of an answered job, and forgets it once nothing of it runs.
+    /// Removes a closed job's waiting tasks, stops its runs, and drops the job once no run is left.
     pub(super) fn close_job(&mut self, key: JobKey) {
         self.queue.remove_job(key);
         let mut stops = Vec::new();
@@ -224,7 +222,8 @@
         }
     }
 
-    /// Time in which the waiting tasks of a job start one after another, in milliseconds; none where nothing waits.
+    /// Expected time to start all waiting tasks of a job one after another, in milliseconds; zero
+    /// if the queue is empty.
     fn spread_ms(&self, job: &Job) -> u64 {
         if self.queue.is_empty() {
             return 0;
@@ -238,7 +237,7 @@
 }
 
 impl JobOutcome {
-    /// The answer's name and its reason, for logs and counters.
+    /// Name and reason of the outcome, as used in logs and metrics.
     pub(crate) const fn name_and_reason(self) -> (&'static str, &'static str) {
         match self {
             Self::Completed => ("completed", ""),
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -1,4 +1,4 @@
-//! The operators' document, for agents and from agents.
+//! Exchanges the operators' document with agents.
 
 use {
     super::{DispatchAction, DispatchLogEvent, Dispatcher, LinkId, worker_link::WorkerKey},
@@ -9,14 +9,15 @@
     },
 };
 
-/// Agents that hold the document for entries that do not reach the store: the loss of any two leaves one.
+/// Number of agents that hold the document for entries without access to the store; with three, the
+/// loss of any two is tolerated.
 const DOCUMENT_HOLDERS: usize = 3;
-/// Time for which an agent holds a newer document before the entry fetches it, in milliseconds: an entry that reaches
-/// the store reads it there meanwhile.
+/// How long an agent must hold a newer document before the entry fetches it, in milliseconds; an
+/// entry with access to the store reads it there in the meantime.
 const FETCH_DELAY_MS: u64 = 400;
 
 impl Dispatcher {
-    /// Whether an agent is to hold the document.
+    /// Whether the agent is to hold the document.
     pub(super) fn is_document_holder(&self, key: WorkerKey) -> bool {
         let connected = self.by_agent.values().filter(|key| {
             let worker = self.workers.get(**key);
@@ -32,7 +33,7 @@
         self.document_behind_since = None;
     }
 
-    /// Fetches the document from an agent that has held a newer one for long enough.
+    /// Fetches the document from an agent that reports a newer revision for long enough.
     pub(super) fn fetch_document(&mut self, now: Instant, link: LinkId, revision: u64) {
         let held = self.document.revision();
         if revision <= held {
--- a/src/core/dispatch/job.rs
+++ b/src/core/dispatch/job.rs
@@ -12,75 +12,72 @@
 };
 
 new_key_type! {
-    /// Names a job in the arena of its dispatcher.
+    /// Key of a job in the dispatcher's slot map.
     pub(crate) struct JobKey;
 }
 
-/// An answer up to this many objectives late is still of use to the caller.
+/// A late outcome is still worth computing up to this many times the objective.
 const LATE_LIMIT_OBJECTIVES: u64 = 3;
 
-/// How far a task has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskState {
-    /// Steps before its own have not ended.
+    /// Waits for earlier steps.
     Blocked,
-    /// It waits for a worker.
+    /// Waits for a worker.
     Waiting,
-    /// A start order was sent, and its run is not known to be over.
+    /// A start order was sent, and the run may still be executing.
     Started,
-    /// It is done.
     Done,
 }
 
-/// One task.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Task {
-    /// Its step.
+    /// Index of its step in the request.
     pub(super) step: u16,
-    /// Its position in the step.
+    /// Index of the task within the step.
     pub(super) index: u16,
-    /// How far it has come.
     pub(super) state: TaskState,
-    /// Number of its newest run.
+    /// Number of its latest run.
     pub(super) last_run: u32,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub(super) failed_runs: u32,
-    /// The worker that the newest run ended badly on.
+    /// Worker to avoid, since the latest run failed, was stopped or lost, or was rejected there.
     pub(super) avoid: Option<WorkerKey>,
-    /// Nothing is started before then.
+    /// Earliest time of the next start.
     pub(super) not_before: Instant,
 }
 
-/// A job from when it is taken in until nothing of it runs any more.
+/// A job from its acceptance until its last run has ended.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) id: JobId,
     pub(super) route: Arc<Route>,
     pub(super) request: JobRequest,
     pub(super) received_at: Instant,
-    /// For how long its client had waited when it came, as far as is known: an earlier try may have been lost.
+    /// Estimated time that the client had already waited at submission, since an earlier attempt
+    /// may have been lost.
     pub(super) waited_ms: u64,
     /// When the client stops waiting.
     pub(super) deadline: Instant,
-    /// Time within which an answer counts as in time.
+    /// Time from the client's first attempt within which an outcome counts as in time.
     pub(super) objective_ms: u64,
-    /// Who waits for the answer; nobody once it has been given.
+    /// Clients that wait for the outcome; empty once it is sent.
     pub(super) waiters: Vec<WaiterId>,
     pub(super) tasks: Vec<Task>,
     /// Tasks that are not done.
     pub(super) remaining_tasks: usize,
-    /// Runs that may be at work.
+    /// Runs that may still be executing.
     pub(super) open_runs: usize,
-    /// Some run may have begun.
+    /// Whether a finished run may have executed.
     pub(super) may_have_run: bool,
-    /// The answer has been given, or nobody waits for it.
+    /// The outcome is sent, or no client waits for it.
     pub(super) closed: bool,
     pub(super) starts: u32,
     pub(super) last_start: Instant,
 }
 
 impl Job {
-    /// A job whose runs are numbered from `first_run`, and whose client has waited so long already.
+    /// Creates a job that numbers its runs from `first_run`.
     pub(super) fn new(
         now: Instant,
         submission: Submission,
@@ -120,7 +117,7 @@
         self.request.steps.get(usize::from(step))
     }
 
-    /// The newest run of a task.
+    /// Identifier of the task's latest run.
     pub(super) fn run_id(&self, task: &Task) -> RunId {
         RunId {
             task: TaskId {
@@ -132,41 +129,40 @@
         }
     }
 
-    /// The latest moment to start a task so that it is done within the objective; `None` if it was past when the
-    /// job came.
+    /// Latest start of a task that meets the objective; `None` if it had passed at submission.
     pub(super) fn latest_start(&self, estimate_ms: u64) -> Option<Instant> {
         self.start_within(self.objective_ms, estimate_ms)
     }
 
-    /// The latest moment to start a task so that its answer is still of use; `None` if it was past when the job came.
+    /// Latest start of a task whose late outcome is still worth computing; `None` if it had passed
+    /// at submission.
     pub(super) fn last_useful_start(&self, estimate_ms: u64) -> Option<Instant> {
         let late_start =
             self.start_within(self.objective_ms * LATE_LIMIT_OBJECTIVES, estimate_ms)?;
         Some(late_start.min(self.last_start(estimate_ms)))
     }
 
-    /// The latest moment to start a task so that its answer finds the client waiting.
+    /// Latest start of a task that finishes before the client's deadline.
     pub(super) const fn last_start(&self, estimate_ms: u64) -> Instant {
         self.deadline.minus_ms(estimate_ms)
     }
 
-    /// The latest moment to start a task that is to end so long after its client began to wait.
+    /// Latest start of a task that finishes within `limit_ms` of the client's first attempt.
     fn start_within(&self, limit_ms: u64, estimate_ms: u64) -> Option<Instant> {
         let left_ms = limit_ms.checked_sub(self.waited_ms + estimate_ms)?;
         Some(self.received_at.plus_ms(left_ms))
     }
 
-    /// Whether something of it runs or may have run.
+    /// Whether any of its tasks runs or may have run.
     pub(super) const fn has_begun(&self) -> bool {
         self.may_have_run || self.open_runs > 0
     }
 
-    /// Tasks that wait for a worker.
     pub(super) fn waiting_tasks(&self) -> usize {
         self.waiting().count()
     }
 
-    /// Their work, in milliseconds by the client's estimates.
+    /// Work of the waiting tasks, in milliseconds of estimated run time.
     pub(super) fn waiting_work_ms(&self) -> u64 {
         let steps = self
             .waiting()
@@ -179,13 +175,12 @@
         tasks.filter(|task| task.state == TaskState::Waiting)
     }
 
-    /// Whether all tasks of a step are done.
     fn is_step_done(&self, step: u16) -> bool {
         let mut of_step = self.tasks.iter().filter(|task| task.step == step);
         of_step.all(|task| task.state == TaskState::Done)
     }
 
-    /// Lets tasks wait for a worker whose earlier steps have ended; their positions.
+    /// Marks tasks as waiting whose earlier steps are done, and returns their positions.
     pub(super) fn unblock(&mut self) -> Vec<usize> {
         let ready: Vec<u16> = (0u16..)
             .zip(&self.request.steps)
@@ -202,12 +197,12 @@
         unblocked
     }
 
-    /// Runs that failed, of all tasks.
+    /// Number of failed runs of all tasks.
     pub(super) fn failed_runs(&self) -> u32 {
         self.tasks.iter().map(|task| task.failed_runs).sum()
     }
 
-    /// Number above all runs of the job.
+    /// A run number above those of all tasks.
     pub(super) fn next_run(&self) -> u32 {
         let newest = self.tasks.iter().map(|task| task.last_run).max();
         newest.unwrap_or(0).saturating_add(1)
@@ -230,8 +225,8 @@
         .collect()
 }
 
-/// The time within which an answer counts as in time: the queue's stretch times the longest chain
-/// of estimated work, and the queue's margin.
+/// Time from the client's first attempt within which an outcome counts as in time: the longest
+/// dependency chain of estimates, times the route's stretch, plus the route's target.
 fn objective_ms(route: &Route, request: &JobRequest) -> u64 {
     let mut chains: Vec<u64> = Vec::with_capacity(request.steps.len());
     for step in &request.steps {
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -68,12 +68,13 @@
         }
     }
 
-    /// Begins a session. Its hello says that nothing from an earlier one runs there any more.
+    /// Opens a session; its hello states that no run of an earlier session is executing there any
+    /// more.
     ///
-    /// Guards against the hello of a session that has ended already and is read late: an entry that was
-    /// suspended finds several in its sockets, in any order, and an old one says nothing about runs that
-    /// were ordered on a newer session. The agent's stamps only rise, so it is told by its stamp. A
-    /// host that was started anew counts from zero and is met as soon as its earlier runs are over.
+    /// After a suspension an entry may read several hellos of one agent in any order, and an
+    /// outdated one says nothing about runs started on a newer session. Hellos are ordered by the
+    /// agent's timestamp, which only increases. A restarted host counts from zero and is accepted
+    /// once its earlier runs have certainly ended.
     fn open_link(&mut self, now: Instant, link: LinkId, agent: String, stamp_us: u64) {
         let key = match self.by_agent.get(&agent) {
             Some(key) => *key,
@@ -109,7 +110,7 @@
         self.send_heartbeat(now, key);
     }
 
-    /// Takes all runs of an agent as over, with an unknown end.
+    /// Treats all runs of an agent as ended with an unknown outcome.
     fn mark_runs_lost(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else {
             return;
@@ -141,7 +142,8 @@
         self.log_event(event);
     }
 
-    /// Sends beats, gives silent sessions up, and takes runs as over that must be by now.
+    /// Sends heartbeats, closes unresponsive sessions, and marks runs as lost that must have ended
+    /// by now.
     pub(super) fn maintain_links(&mut self, now: Instant) {
         let limits = self.settings.limits;
         let keys: Vec<WorkerKey> = self.workers.keys().collect();
@@ -206,7 +208,7 @@
             evacuated: zones.evacuated.iter().cloned().collect(),
         });
         let previous = self.zones.replace(zones.clone());
-        // The store's version also rises with what is no news to agents.
+        // The store's version also increases with changes that don't concern agents.
         if previous.is_some_and(|previous| previous.evacuated == zones.evacuated) {
             return;
         }
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Tells an agent the zones that are out.
+    /// Sends the evacuated zones to an agent.
     fn send_zones(&mut self, key: WorkerKey) {
         let link = self.workers.get(key).and_then(|worker| worker.link);
         if let (Some(link), Some(zones)) = (link, self.zones.clone()) {
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps clients' jobs at an entry and hands their tasks to agents.
+//! Tracks clients' jobs at an entry and dispatches their tasks to agents.
 
 mod admission;
 mod arrival_rate;
--- a/src/core/dispatch/outcomes.rs
+++ b/src/core/dispatch/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of a run leads to.
+//! Applies the outcomes of runs to jobs and workers.
 
 use {
     super::{
@@ -14,16 +14,18 @@
     },
 };
 
-/// Pause before a task is ordered again at a worker where another run of it is not over, in
-/// milliseconds: a stop takes up to 50.
+/// Delay before the next start of a task that still runs on the chosen worker, in milliseconds; a
+/// stop takes up to 50 ms.
 const BUSY_BACKOFF_MS: u64 = 60;
-/// Pause before a worker is given anything after it rejected an order, in milliseconds.
+/// Delay before the next start order to a worker that rejected one, in milliseconds.
 const REJECTED_BACKOFF_MS: u64 = 150;
-/// A run of this many times its estimate, and of [`SLOW_LEAST_MS`] more, counts as slow.
+/// A run is slow after this many times its estimate, and at least [`MIN_SLOW_EXCESS_MS`] beyond it.
 ///
-/// Estimates are off by up to a factor of two; a slow worker takes four times as long or more.
+/// Estimates are off by up to a factor of two; on a slow worker a task takes at least four times as
+/// long.
 const SLOW_FACTOR: u64 = 3;
-/// Least time beyond the estimate that counts as slow, in milliseconds: less is noise.
+/// Minimum time beyond the estimate after which a run is slow, in milliseconds; shorter excesses
+/// are noise.
 const MIN_SLOW_EXCESS_MS: u64 = 100;
 
 impl Dispatcher {
@@ -57,7 +59,7 @@
         self.apply_outcome(now, worker, open, outcome);
     }
 
-    /// Learns from an end what it says about the worker.
+    /// Updates the worker's speed, capacity and health.
     fn update_worker_stats(
         &mut self,
         now: Instant,
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Whether most other workers end tasks well; if not, the tasks or something shared are at fault, and no worker
-    /// is left alone.
+    /// Whether most other workers are healthy. If not, the tasks or a shared dependency are at
+    /// fault, and no worker is ejected.
     fn most_others_are_healthy(&self, worker: WorkerKey) -> bool {
         let others = self.workers.iter().filter(|(key, _)| *key != worker);
         let (others, healthy) = others.fold((0, 0), |(others, healthy), (_, other)| {
@@ -170,7 +172,7 @@
     }
 }
 
-/// What a run's end says about its worker, if it says anything.
+/// What the outcome of a run says about its worker; `None` if nothing.
 fn health_sample(open: &OpenRun, outcome: RunOutcome, ran_ms: u64) -> Option<HealthSample> {
     let slow_ms = (open.estimate_ms * SLOW_FACTOR).max(open.estimate_ms + MIN_SLOW_EXCESS_MS);
     match outcome {
--- a/src/core/dispatch/overdue.rs
+++ b/src/core/dispatch/overdue.rs
@@ -1,23 +1,24 @@
-//! Runs that take far longer than estimated.
+//! Stops runs that exceed their estimate by far.
 
 use {
     super::{DispatchAction, DispatchLogEvent, Dispatcher},
     crate::core::{link::EntryFrame, time::Instant},
 };
 
-/// A run is stopped once it has taken this many times its estimate ...
+/// A run is overdue after this many times its estimate.
 ///
-/// Run times are spread around the estimate by a factor of two or so; of runs that take four times as
-/// long almost all are on a worker that stands still or crawls.
+/// Run times vary around the estimate by about a factor of two; a run that takes four times as long
+/// is almost always on a stalled or very slow worker.
 const OVERDUE_FACTOR: u64 = 4;
-/// ... and at least so much, in milliseconds: a restart costs a stop, two messages and another start.
+/// Shortest time after which a run is overdue, in milliseconds: a restart costs a stop, two
+/// messages and another start.
 const MIN_OVERDUE_MS: u64 = 250;
 
 impl Dispatcher {
-    /// Stops runs at workers that stand still or crawl, to start them elsewhere.
+    /// Stops runs on stalled or very slow workers, so that they can start elsewhere.
     ///
-    /// Guards against workers that look healthy and end nothing: their tasks would wait until the
-    /// client's deadline. The task starts again only when its agent has said that the run is over.
+    /// Such workers look healthy, and their tasks would otherwise wait until the client's deadline.
+    /// A task is restarted only after the agent has reported the end of its run.
     pub(super) fn stop_overdue_runs(&mut self, now: Instant) {
         let mut overdue = Vec::new();
         for worker in self.workers.values_mut() {
--- a/src/core/dispatch/overload.rs
+++ b/src/core/dispatch/overload.rs
@@ -1,4 +1,4 @@
-//! Whether a job that waits will get its turn while its answer is of use.
+//! Refuses jobs that won't start in time under overload.
 
 use {
     super::{
@@ -13,21 +13,20 @@
     std::mem,
 };
 
-/// Shortest and longest time after which a client is asked to come back, in milliseconds: the queue is another one
-/// after a second, and no overload is known well enough to say more than half a minute.
+/// Minimum and maximum Retry-After, in milliseconds. The queue has changed after a second, and load
+/// can't be predicted beyond half a minute.
 const RETRY_AFTER_BOUNDS_MS: (u64, u64) = (1_000, 30_000);
 
-/// Share of the more urgent work that comes meanwhile which goes before a job that waits: the rest is refused itself or
-/// comes when the job has begun.
+/// Share of the more urgent arrivals that is expected to start before a waiting job. The rest is
+/// refused or arrives after the job has begun.
 const URGENT_ARRIVAL_SHARE: f64 = 0.5;
 
 impl Dispatcher {
-    /// Refuses jobs taken in with these events that found no room and won't begin in time.
+    /// Refuses jobs of this batch for which no capacity is free and which won't start in time.
     ///
-    /// Load that this answers: more work than the workers can do, for seconds. Guards against jobs that
-    /// are held and refused later, when their client has lost that time: of a lasting flood most were. All work
-    /// of the same urgency counts as before a new job, also what may start after it, so that one which is taken is not
-    /// pushed aside by those that come next.
+    /// Refusing them at once leaves their clients time to retry. All work with the same or a more
+    /// urgent priority counts as ahead of a new job, also what may start after it, so that later
+    /// arrivals don't displace an accepted job.
     pub(super) fn evaluate_new_jobs(&mut self, now: Instant) {
         if self.new_jobs.is_empty() || self.queue.is_empty() {
             self.new_jobs.clear();
@@ -52,9 +51,10 @@
         }
     }
 
-    /// Puts a task whose prospect has passed where it now belongs, or gives its job up.
+    /// Reclassifies a task whose latest start has passed, or gives up its job.
     ///
-    /// A job that did not begin in time is refused unless there is room for it: new work goes before it.
+    /// A job that has not begun by then is refused unless capacity is free for it, since new jobs
+    /// go before it.
     pub(super) fn requeue(&mut self, now: Instant, waiting: WaitingTask) {
         self.queue.remove(&waiting);
         if self.jobs.get(waiting.job).is_none_or(|job| job.closed) {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Refuses a job of which nothing has begun and for which there is no room behind so many tasks.
+    /// Refuses a job that has not begun unless there is free capacity for it and the `ahead` tasks
+    /// before it.
     fn refuse_without_capacity(&mut self, now: Instant, key: JobKey, ahead: usize) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -86,8 +87,9 @@
         self.finish_job(now, key, outcome);
     }
 
-    /// Whether the room that is free takes the job's tasks and those before them, although none may be ordered at this
-    /// moment: nothing is refused while a site is being filled.
+    /// Whether the free capacity fits the job's tasks and the `ahead` tasks before them, even if
+    /// the limit on unreported start orders delays them. Nothing is refused while the site still
+    /// has free capacity.
     fn has_capacity_for(&self, now: Instant, job: &Job, ahead: usize) -> bool {
         let zones = self.zones.as_ref();
         let needed = ahead + job.waiting_tasks();
@@ -101,7 +103,7 @@
         })
     }
 
-    /// How fast this entry gets through work like that which waits first.
+    /// Estimates the throughput for tasks like the first one in the queue.
     pub(super) fn estimate_throughput(&self, now: Instant) -> Throughput {
         let first = self.queue.next_after(None);
         let next = first.and_then(|waiting| {
@@ -115,8 +117,9 @@
         Throughput::from_workers(self.workers.values(), tasks_of)
     }
 
-    /// Tasks of a step that a worker takes from this entry at a time: those that run and what is free, or this entry's part
-    /// of its room where that is more. An entry that begins has few runs yet, and others may hold what it will get.
+    /// Concurrent tasks of a step that a worker runs for this entry: its current runs plus free
+    /// capacity, or this entry's share of the worker's capacity if that is more. A new entry has
+    /// few runs yet, and other entries may hold the capacity that it will get.
     fn concurrent_tasks_at(
         &self,
         now: Instant,
--- a/src/core/dispatch/placement.rs
+++ b/src/core/dispatch/placement.rs
@@ -1,4 +1,4 @@
-//! Which task starts next, and where.
+//! Selects the next task and the worker to run it.
 
 use {
     super::{
@@ -16,20 +16,23 @@
     std::mem,
 };
 
-/// Waiting tasks for which no worker has room before the others are left for the next event.
+/// Number of waiting tasks without a fitting worker after which placement stops until the next
+/// event.
 ///
-/// Tasks of one service are much alike, so the next ones fit nowhere either; looking at all of them
-/// at each event would take more processor time than the entry has.
+/// Tasks of a service are similar, so the following ones rarely fit either, and scanning the whole
+/// queue at each event would cost too much CPU time.
 const MAX_MISSES: usize = 24;
-/// Factor for a worker in the rack of the task's data: any other takes half as long again, or twice.
+/// Weight factor of a worker in the rack that holds the task's data; elsewhere a task takes 1.5 to
+/// 2 times as long.
 const DATA_RACK_FACTOR: f64 = 1e6;
-/// Factor for a worker where the task is likely to fail: only if there is no other.
+/// Weight factor of a worker on which the task is likely to fail; it is chosen only if there is no
+/// other.
 const AVOID_FACTOR: f64 = 1e-6;
-/// Least weight, for workers without a processor's share left and tasks that need none.
+/// Minimum weight, for workers without free CPU and tasks that need none.
 const MIN_WEIGHT: f64 = 1e-4;
 
 impl Dispatcher {
-    /// Hands waiting tasks to workers with room.
+    /// Assigns waiting tasks to workers with free capacity.
     pub(super) fn place_tasks(&mut self, now: Instant) {
         let mut misses = 0;
         let mut last_examined = None;
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Tells agents whose offers of room were not taken up.
+    /// Notifies agents that the capacity which they reserved is not needed.
     pub(super) fn decline_unused_capacity(&mut self) {
         for key in mem::take(&mut self.capacity_reported) {
             let Some(worker) = self.workers.get_mut(key) else {
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Orders a task at a worker that has room for it; whether there is one.
+    /// Sends a task to a worker with free capacity; returns whether there is one.
     fn place(&mut self, now: Instant, waiting: &WaitingTask) -> bool {
         let Some(job) = self.jobs.get(waiting.job) else {
             self.queue.remove(waiting);
@@ -95,8 +98,8 @@
         true
     }
 
-    /// Goes on with a job of which the first task has just been ordered; what finds no room goes before
-    /// jobs that have not begun.
+    /// Places the other tasks of a job whose first task was just started. Those without a fitting
+    /// worker go before jobs that have not begun.
     fn place_remaining_tasks(&mut self, now: Instant, key: JobKey) {
         for waiting in self.queue.drain_job(key) {
             self.enqueue(now, key, waiting.task);
@@ -150,7 +153,7 @@
     }
 }
 
-/// What is free at a worker that may be given tasks of this step and has room for one.
+/// Free capacity of a worker that accepts tasks of this step and has enough for one.
 pub(super) fn free_capacity_for(
     now: Instant,
     worker: &WorkerLink,
@@ -165,12 +168,12 @@
     (accepts_tasks && step.needs.fits(free)).then_some(free)
 }
 
-/// How good the worker is for the task, as the weight of a draw.
+/// Weight of a worker for a task.
 ///
-/// Load that this answers: several entries that choose among the same workers by figures some milliseconds old.
-/// Were the emptiest worker always taken, all of them would take the same one, and it would turn
-/// most of their orders away. A draw spreads them over what is free; the square makes an empty
-/// worker four times as likely as one that is half full.
+/// Entries choose among the same workers by reports that are some milliseconds old. If all of them
+/// took the emptiest worker, it would reject most of their start orders; a weighted random choice
+/// spreads the orders. Due to the square, an empty worker is four times as likely as one that is
+/// half full.
 fn weight(worker: &WorkerLink, free: Resources, step: &StepSpec, is_risky: bool) -> f64 {
     let capacity = worker
         .view
@@ -192,15 +195,16 @@
     (share / worker.slowness).powi(2).max(MIN_WEIGHT) * data_rack_factor * risk_factor
 }
 
-/// Whether the task had better go to another worker: its last run ended badly there, or it has failed before and so have others there.
+/// Whether the task should avoid this worker: its last run ended badly there, or it has failed
+/// before and the worker is not healthy.
 ///
-/// Guards against jobs that fail although most workers are sound: of several that fail what they start, one would get the
-/// task's first run and another one its last.
+/// Otherwise a few failing workers could use up all attempts of a task, although most workers are
+/// healthy.
 fn is_risky(key: WorkerKey, worker: &WorkerLink, task: &Task) -> bool {
     task.avoid == Some(key) || (task.failed_runs > 0 && !worker.health.is_healthy())
 }
 
-/// Whether the worker has as many tasks of the step as it may.
+/// Whether the worker already runs the maximum number of the step's tasks.
 fn is_at_task_limit(worker: &WorkerLink, job: &Job, task: &Task, step: &StepSpec) -> bool {
     if step.most_per_worker == 0 {
         return false;
--- a/src/core/dispatch/queue.rs
+++ b/src/core/dispatch/queue.rs
@@ -1,8 +1,8 @@
-//! The order in which waiting tasks get a worker.
+//! The order in which waiting tasks are assigned to workers.
 //!
-//! Load that this answers: more work than the workers can do in time, for seconds. A queue in order of arrival
-//! would make everything late by the same time. This one serves what can still be in time, and of each priority
-//! what has begun first, then what is late and of use. What can be neither is given up.
+//! Under overload, first-in-first-out order would make all jobs equally late. This queue starts
+//! tasks first that can still meet their objective, within a priority those of begun jobs first,
+//! and late ones after them. Tasks that can't finish in time are given up.
 
 use {
     super::job::{Job, JobKey},
@@ -10,50 +10,50 @@
     std::{collections::BTreeSet, ops::Bound},
 };
 
-/// A task counts as in time if it may take so many hundredths longer than estimated.
+/// Percentage added to an estimate when deciding whether a task can be in time.
 ///
-/// Estimates are off by four tenths or so; without a margin a queue in overload would start each task at
-/// its last moment, and half of them would be late.
+/// Estimates are off by about 40 %. Without a margin an overloaded queue would start each task at
+/// its latest start, and half of them would be late.
 const ESTIMATE_MARGIN_PERCENT: u64 = 25;
 
-/// What starting a task now would lead to.
+/// How starting a task now relates to the job's deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DeadlineClass {
-    /// An answer in time, or at least a whole one of a job that has begun.
+    /// Meets the objective, or completes a job that has begun.
     InTime,
-    /// A late answer that is still of use.
+    /// Misses the objective, but stays within the late limit.
     Late,
-    /// An answer that comes too late to be of use, while its client still waits: it came back after an outage.
+    /// Exceeds the late limit, but the client still waits, for example with a job that it sends
+    /// again after an outage.
     Overdue,
 }
 
-/// A waiting task, in the order of starts.
+/// A waiting task. The order of the fields is the order of starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WaitingTask {
-    /// What starting it would lead to, when it was last looked at.
+    /// As of the last evaluation.
     pub(super) deadline_class: DeadlineClass,
-    /// The queue's priority; lower values go first.
+    /// The route's priority; lower values go first.
     pub(super) priority: u32,
-    /// Nothing of the job has begun.
+    /// No task of the job has started.
     ///
-    /// Guards against jobs of which a part runs and the rest waits until it is of no use: their clients can't
-    /// repeat them, and what ran was in vain. Of two jobs alike the rest of a begun one costs less, too.
+    /// Begun jobs go first: clients can't safely retry a job of which a part has run, and
+    /// completing it costs less than starting another one.
     pub(super) not_begun: bool,
-    /// The latest start for that prospect.
+    /// Latest start at which `deadline_class` still applies.
     pub(super) latest_start: Instant,
-    /// The job.
     pub(super) job: JobKey,
-    /// The task's position in it.
+    /// The task's position in the job.
     pub(super) task: usize,
-    /// The client's estimate of its run time.
+    /// The client's estimate of the run time, in milliseconds.
     pub(super) estimate_ms: u64,
 }
 
 impl WaitingTask {
-    /// A task that begins to wait or whose prospect has passed; `None` if it is of no use any more.
+    /// Classifies a task for the queue; `None` if it can't finish in time any more.
     ///
-    /// All tasks of a job take `spread_ms` to start one after another. A job begins only while there is time
-    /// for that, too: begun at the last moment, it would be late by as much.
+    /// `spread_ms` is the expected time to start all waiting tasks of the job. A job that has not
+    /// begun must start that much earlier for its last task to be in time.
     pub(super) fn new(
         now: Instant,
         key: JobKey,
@@ -62,7 +62,7 @@
         spread_ms: u64,
     ) -> Option<Self> {
         let estimate_ms = job.step(task).map_or(0, |step| step.estimate_ms);
-        // A queue with a tight objective leaves less than the margin.
+        // With a tight objective, half of the slack is used instead of the full margin.
         let slack_ms = job.objective_ms.saturating_sub(estimate_ms);
         let margin_ms = (estimate_ms * ESTIMATE_MARGIN_PERCENT / 100).min(slack_ms / 2);
         let in_time_start = job.latest_start(estimate_ms + margin_ms);
@@ -97,22 +97,21 @@
         }
     }
 
-    /// Whether the prospect still holds.
+    /// Whether `deadline_class` still applies.
     pub(super) fn is_current(&self, now: Instant) -> bool {
         now <= self.latest_start
     }
 }
 
-/// What goes before a job.
+/// Work that starts before a job.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct WorkAhead {
-    /// Tasks.
+    /// Number of tasks.
     pub(super) tasks: usize,
-    /// Their work, in milliseconds by the clients' estimates.
+    /// Work in milliseconds of estimated run time.
     pub(super) work_ms: u64,
 }
 
-/// Waiting tasks of all jobs.
 #[derive(Debug, Default)]
 pub(super) struct TaskQueue {
     waiting: BTreeSet<WaitingTask>,
@@ -135,7 +134,7 @@
         self.waiting.is_empty()
     }
 
-    /// The first in the order of starts, or the one that follows another.
+    /// The first task in the order of starts, or the one that follows `before`.
     pub(super) fn next_after(&self, before: Option<&WaitingTask>) -> Option<WaitingTask> {
         match before {
             None => self.waiting.first().copied(),
@@ -150,12 +149,12 @@
         self.waiting.retain(|waiting| waiting.job != job);
     }
 
-    /// Tasks that start before another.
+    /// Number of tasks that start before `waiting`.
     pub(super) fn count_before(&self, waiting: &WaitingTask) -> usize {
         self.waiting.range(..waiting).count()
     }
 
-    /// Tasks of other jobs that may be in time and are as urgent as this one, or more.
+    /// In-time tasks of other jobs with the same or a more urgent priority.
     pub(super) fn work_ahead_of(&self, waiting: &WaitingTask) -> WorkAhead {
         let others = self.waiting.iter().filter(|other| {
             other.job != waiting.job
@@ -168,12 +167,12 @@
         })
     }
 
-    /// Work that waits, in milliseconds by the clients' estimates.
+    /// Work of all waiting tasks, in milliseconds of estimated run time.
     pub(super) fn work_ms(&self) -> u64 {
         self.waiting.iter().map(|waiting| waiting.estimate_ms).sum()
     }
 
-    /// The first of a job's tasks that wait.
+    /// The job's first task in the order of starts.
     pub(super) fn first_of_job(&self, job: JobKey) -> Option<WaitingTask> {
         self.waiting
             .iter()
@@ -181,7 +180,7 @@
             .copied()
     }
 
-    /// Takes out the tasks of a job that wait, in their order.
+    /// Removes the job's tasks and returns them in the order of starts.
     pub(super) fn drain_job(&mut self, job: JobKey) -> Vec<WaitingTask> {
         self.waiting
             .extract_if(.., |waiting| waiting.job == job)
--- a/src/core/dispatch/tests/concurrent_entries.rs
+++ b/src/core/dispatch/tests/concurrent_entries.rs
@@ -1,4 +1,4 @@
-//! Entries that choose among the same workers.
+//! Tests with several entries that choose among the same workers.
 
 use {super::*, std::collections::BTreeMap};
 
@@ -6,7 +6,7 @@
 const WORKERS: u64 = 50;
 const SLOTS: u32 = 12;
 
-/// A worker and its agent, which turns away what does not fit.
+/// A worker and its agent, which rejects start orders that don't fit.
 #[derive(Debug, Default)]
 struct AgentModel {
     running: u32,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A site on which entries and agents take turns.
+/// A site whose entries and agents take turns.
 struct Site {
     entries: Vec<TestDispatcher>,
     agents: BTreeMap<u64, AgentModel>,
@@ -57,7 +57,8 @@
             .extend(starts.into_iter().map(|(worker, run)| (entry, worker, run)));
     }
 
-    /// All orders under way arrive, one of each entry at a time, and are answered with a report.
+    /// Delivers all start orders in flight, one of each entry at a time, and responds with a
+    /// report.
     fn deliver(&mut self) {
         let orders = std::mem::take(&mut self.orders);
         let mut responses = Vec::new();
@@ -94,10 +95,8 @@
     }
 }
 
-/// After a power loss for all, clients' jobs wait at every entry before the first agent is met. Each entry
-/// then sees the same empty workers. When each filled them by itself, eight times what the site has room for was
-/// ordered and seven of eight orders were turned away and sent elsewhere, thousands in a second, while
-/// the jobs grew late. Cause: an entry took all the room in a report for its own.
+/// All entries have full queues and see the same idle workers, as after a site-wide power failure.
+/// If each of them used all the reported capacity, most start orders would be rejected.
 #[test]
 fn full_queues_fill_idle_workers_without_mass_rejection() {
     let mut site = Site::new();
@@ -123,16 +122,15 @@
     );
 }
 
-/// On a busy but not overloaded site several entries place tasks at the same moment, by the same reports. When each
-/// took the emptiest worker, all took the same one, which had no room for most of them: a message
-/// each way and two milliseconds more for every third task. Cause: the same order of preference everywhere.
+/// Entries place tasks by the same reports at the same time. They must not all prefer the same
+/// worker, which would reject most of them.
 #[test]
 fn concurrent_entries_choose_different_workers() {
     let mut site = Site::new();
     for agent in site.agents.values_mut() {
         agent.running = SLOTS - 2;
     }
-    // One worker is emptier than all others.
+    // One worker has more free slots than the others.
     site.agents.get_mut(&1).unwrap().running = SLOTS - 3;
     for entry in 0..ENTRIES as usize {
         for worker in 1..=WORKERS {
@@ -153,7 +151,7 @@
     );
 }
 
-/// A single busy entry must not be kept from room that the others leave: its share grows with each report.
+/// A single busy entry must get the capacity that the other entries don't use.
 #[test]
 fn a_single_busy_entry_uses_all_capacity() {
     let mut site = Site::new();
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Directed tests of the dispatcher; the seeded harness plays it with everything else.
+//! Unit tests of the dispatcher; the simulation in `core::tests` runs it together with the other
+//! state machines.
 
 mod concurrent_entries;
 
@@ -22,10 +23,10 @@
     std::{collections::BTreeSet, sync::Arc},
 };
 
-/// Room of each worker, in tasks of one core.
+/// Capacity of each worker, in tasks of one core.
 const WORKER_CORES: u32 = 2;
 
-/// A dispatcher with its clock and what it last wanted done.
+/// A dispatcher with its clock and its latest actions.
 struct TestDispatcher {
     dispatcher: Dispatcher,
     now: Instant,
@@ -82,7 +83,7 @@
 }
 
 impl TestDispatcher {
-    /// A dispatcher in touch with so many agents whose workers are free.
+    /// Creates a dispatcher that is connected to this many agents with idle workers.
     fn with_workers(workers: u64) -> Self {
         let mut dispatcher = Self::with_seed(1);
         for worker in 1..=workers {
@@ -91,7 +92,7 @@
         dispatcher
     }
 
-    /// A dispatcher that knows no agent.
+    /// Creates a dispatcher without agents.
     fn with_seed(seed: u64) -> Self {
         let limits = RunLimits::for_resend(1_300, 50);
         Self {
@@ -106,7 +107,7 @@
         self.connect_with(worker, WORKER_CORES, 1);
     }
 
-    /// Meets an agent of which so many entries know.
+    /// Connects an agent that reports `entries` connected entries.
     fn connect_with(&mut self, worker: u64, cores: u32, entries: u16) {
         self.stamp_us += 1;
         let hello = AgentFrame::Hello {
@@ -164,7 +165,7 @@
         );
     }
 
-    /// Time passes while all agents keep in touch; all that was wanted meanwhile is kept.
+    /// Advances the clock while all agents send heartbeats, and collects the actions.
     fn advance_ms(&mut self, span_ms: u64) {
         let mut actions = Vec::new();
         for _ in 0..span_ms / 20 {
@@ -185,7 +186,7 @@
         self.actions = actions;
     }
 
-    /// Orders to start, as worker and run.
+    /// Start orders, as worker and run.
     fn starts(&self) -> Vec<(u64, RunId)> {
         let starts = self.actions.iter().filter_map(|action| match action {
             DispatchAction::Send {
@@ -294,8 +295,8 @@
     } => Unsupported;
 }
 
-/// A client leaves. Its runs are stopped at once; a copy of the job that comes meanwhile begins when
-/// they are over, with higher run numbers.
+/// A copy of a job that was given up must not run beside the original: it starts when the stopped
+/// runs have ended, with higher run numbers.
 #[test]
 fn a_copy_waits_for_the_stopped_runs_of_the_original() {
     let mut dispatcher = TestDispatcher::with_workers(2);
@@ -311,8 +312,8 @@
     assert_eq!(dispatcher.starts()[0].1.number, 2);
 }
 
-/// An agent's session breaks while a task runs there. The task is not started elsewhere before the run is certainly
-/// over, and then it is.
+/// Without its session, a run may execute until its lease expires. The task must not start
+/// elsewhere before that.
 #[test]
 fn a_run_with_unknown_outcome_is_not_restarted_too_early() {
     let mut dispatcher = TestDispatcher::with_workers(2);
@@ -329,7 +330,8 @@
     assert_ne!(dispatcher.starts()[0].0, disconnected);
 }
 
-/// The agent comes back before that and says hello, which tells that nothing runs any more.
+/// A hello states that no earlier run executes any more, so the task restarts without waiting for
+/// the lease.
 #[test]
 fn a_hello_resolves_runs_with_unknown_outcome() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -340,8 +342,8 @@
     assert_eq!(dispatcher.starts()[0].1.number, 2);
 }
 
-/// An entry wakes after seconds and finds two hellos of one agent in its sockets. The older one is read last and
-/// says nothing about what was ordered on the newer session.
+/// Hellos can be read out of order after a suspension. An outdated one says nothing about runs on
+/// the newer session.
 #[test]
 fn an_outdated_hello_is_rejected() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -359,9 +361,8 @@
     );
 }
 
-/// An entry has met no agent for a second, after a power loss for all. Its clients hear that nothing of their jobs ran and when to
-/// come back. It used to say that tasks may have run, which a client can't act on where a task must
-/// not run twice.
+/// Without any agent, nothing can have started. The client gets "not run", which it can retry,
+/// instead of "given up".
 #[test]
 fn a_job_without_any_agent_is_reported_as_not_run() {
     let mut dispatcher = TestDispatcher::with_seed(1);
@@ -374,8 +375,8 @@
     );
 }
 
-/// An entry's host is suspended for seconds while jobs run. On waking it gives them up, since their clients may have
-/// sent them elsewhere, and orders nothing before it has read who has gone.
+/// Clients may have submitted the jobs of a suspended entry elsewhere, so it must not go on with
+/// them, and it starts nothing before it has read pending disconnects.
 #[test]
 fn an_entry_gives_up_its_jobs_after_a_suspension() {
     let mut dispatcher = TestDispatcher::with_workers(2);
@@ -404,8 +405,7 @@
     assert_eq!(starts.len(), 2);
 }
 
-/// A burst fills all workers with long tasks, and an urgent job comes. It gets the next room, ahead of what
-/// waits longer on a queue that is less urgent.
+/// Urgent tasks get the next free capacity, ahead of less urgent ones that wait longer.
 #[test]
 fn urgent_tasks_go_first() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -417,9 +417,8 @@
     assert_eq!(dispatcher.starts()[0].1.task.job, JobId(3));
 }
 
-/// More work comes than can be done. A job of four tasks gets the two slots that are free, and another one that must start
-/// sooner comes after it. The first goes on with the next slot: ordered by time alone it used to wait half done until its
-/// answer was of no use, and what had run of it was in vain.
+/// Under overload a begun job must not wait behind an earlier latest start until it can't finish in
+/// time.
 #[test]
 fn a_begun_job_goes_before_a_new_one() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -432,9 +431,7 @@
     assert_eq!(next[0].1.task.job, JobId(1));
 }
 
-/// Three workers are full for half a second, and jobs come that must begin within a tenth of one. The first waits for its turn; those behind
-/// it hear at once that they have not run, and when to come back. They used to be held until their answer was of no
-/// use, and were refused then.
+/// Refusing a job only when it is late costs its client the time to retry.
 #[test]
 fn jobs_that_cannot_start_in_time_are_refused_at_once() {
     let mut dispatcher = TestDispatcher::with_workers(3);
@@ -451,9 +448,8 @@
     }
 }
 
-/// The same full workers, and jobs of a second's work come together, each of which would wait for seconds. Those that begin in time are
-/// kept, and the others hear at once: they used to be held for seconds, while all new work went before them, and were
-/// refused in the end without a try.
+/// Jobs that will start in time must not be displaced by later ones; those that won't are refused
+/// at once.
 #[test]
 fn a_burst_of_long_jobs_is_accepted_as_far_as_it_starts_in_time() {
     let mut dispatcher = TestDispatcher::with_workers(3);
@@ -483,8 +479,8 @@
     assert_eq!(started, BTreeSet::from([JobId(2), JobId(3)]));
 }
 
-/// A queue with a tight objective: even a job that starts at once can hardly be in time. It is taken all the same where it finds room
-/// behind nothing, and is not refused because its estimate leaves less than the usual margin.
+/// An estimate that leaves less slack than the usual margin must not lead to a refusal while no
+/// work is ahead.
 #[test]
 fn a_job_with_a_tight_objective_is_accepted() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -502,7 +498,7 @@
     assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
-/// The same full workers, and a job that has time: it waits and is served.
+/// A job that starts in time must not be refused, although no capacity is free.
 #[test]
 fn a_job_that_can_wait_is_not_refused() {
     let mut dispatcher = TestDispatcher::with_workers(3);
@@ -514,8 +510,7 @@
     assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
-/// An order is turned away and its task finds room elsewhere. When the first worker's agent offers room on that account, the
-/// entry says once that it has nothing to start there.
+/// An agent must not keep capacity reserved for an entry that has nothing to start there.
 #[test]
 fn reserved_capacity_that_is_not_needed_is_declined_once() {
     let mut dispatcher = TestDispatcher::with_workers(2);
@@ -534,14 +529,14 @@
     assert_eq!(declines(&dispatcher), 0);
 }
 
-/// All workers are busy for seconds. A job that waits is refused when it can't begin in time any more and there is no room, not when its answer
-/// is of no use or its client stops waiting, and is told when to come back.
+/// A job that can't start in time any more must be refused with a retry time before its client
+/// stops waiting.
 #[test]
 fn a_job_that_misses_its_latest_start_is_refused_early() {
     let mut dispatcher = TestDispatcher::with_workers(1);
     dispatcher.submit(job(1, 0, vec![step(2, 2_900)]));
     dispatcher.submit(job(2, 0, vec![step(1, 60)]));
-    // The objective is 156 ms; the task takes up to 75 of it.
+    // The objective is 156 ms, of which the task with its margin takes 75.
     dispatcher.advance_ms(60);
     assert!(dispatcher.outcomes().is_empty());
     dispatcher.advance_ms(40);
@@ -558,8 +553,8 @@
     );
 }
 
-/// Five of eleven workers fail whatever they start, and are left alone one after the other as long as most others are sound. When only a
-/// third could be, the next one went on failing a thousand tasks, and jobs whose tasks may fail once were lost.
+/// A limit on the number of ejected workers must not let the remaining failing ones use up the
+/// attempts of tasks.
 #[test]
 fn all_failing_workers_are_ejected_while_most_are_healthy() {
     let mut dispatcher = TestDispatcher::with_workers(11);
@@ -569,12 +564,12 @@
         for (worker, run) in dispatcher.submit(job(number, 0, vec![step(1, 100)])) {
             let fails = worker <= 5;
             failed += u32::from(fails);
-            let end = if fails {
+            let outcome = if fails {
                 RunOutcome::Failed
             } else {
                 RunOutcome::Done
             };
-            dispatcher.end_run((worker, run), end);
+            dispatcher.end_run((worker, run), outcome);
             dispatcher.report_capacity(worker, WORKER_CORES, 1_000);
             for (worker, run) in dispatcher.starts() {
                 dispatcher.end_run((worker, run), RunOutcome::Done);
@@ -582,19 +577,18 @@
             }
         }
     }
-    // Three each, within the second for which they are left alone first.
+    // Three each, within the first ejection period of one second.
     assert!(failed <= 5 * 3, "{failed} tasks failed");
 }
 
-/// A job that its client has sent before: most of the time that it can wait is used up.
+/// A job that its client has submitted before: most of its time is used up.
 fn resubmitted_job(number: u64) -> Submission {
     let mut again = job(number, 0, vec![step(1, 100)]);
     again.time_left_ms = 1_000;
     again
 }
 
-/// All hosts lose power, and clients send their jobs again beside new ones. What was sent a second ago is late whatever is done for it;
-/// taken for new, it went first, and the new jobs were late, too. The time that its client has left tells it.
+/// A resubmitted job is late already. If it went before new jobs, it would make them late, too.
 #[test]
 fn resubmitted_jobs_do_not_delay_new_ones() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -611,7 +605,7 @@
     assert_eq!(dispatcher.starts()[0].1.task.job, JobId(3));
 }
 
-/// The same, and there is room: the client still waits for the answer and gets it.
+/// A resubmitted job still has a waiting client and is served if capacity is free.
 #[test]
 fn a_resubmitted_job_runs_where_capacity_is_free() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -619,7 +613,8 @@
     assert_eq!(dispatcher.submit(resubmitted_job(2)).len(), 1);
 }
 
-/// Clients of a queue wait for less than its time-out, all of them: none of their jobs counts as sent before.
+/// If all clients of a route wait for less than its timeout, none of their jobs counts as
+/// resubmitted.
 #[test]
 fn a_long_route_timeout_does_not_mark_jobs_as_resubmitted() {
     let mut dispatcher = TestDispatcher::with_workers(1);
@@ -632,8 +627,8 @@
     assert_eq!(dispatcher.starts()[0].1.task.job, JobId(2));
 }
 
-/// A worker stands still and looks healthy. Its run is stopped after four times its estimate, and starts
-/// elsewhere only when the agent has said that it is over.
+/// A stalled worker that looks healthy must not hold its tasks until the client's deadline. The
+/// task restarts only after the agent has reported the end of the run.
 #[test]
 fn an_overdue_run_is_stopped_and_restarted_elsewhere() {
     let mut dispatcher = TestDispatcher::with_workers(2);
@@ -646,8 +641,8 @@
     assert_ne!(dispatcher.starts()[0].0, starts[0].0);
 }
 
-/// An entry is told to end. Clients whose connections are still open send it jobs until these are closed, three seconds
-/// later, and are served. It used to refuse them for the last half second of that.
+/// Clients with open connections submit jobs until the load balancer closes them, and must not be
+/// refused before that.
 #[test]
 fn a_leaving_entry_accepts_jobs_until_its_connections_close() {
     let mut dispatcher = TestDispatcher::with_workers(1);
--- a/src/core/dispatch/throughput.rs
+++ b/src/core/dispatch/throughput.rs
@@ -1,17 +1,18 @@
-//! How fast an entry gets through the work that waits.
+//! Estimates how fast an entry processes waiting work.
 
 use super::worker_link::WorkerLink;
 
-/// Tasks that an entry has at work at a time.
+/// Number of tasks that run for an entry at a time, weighted by the workers' speed.
 ///
-/// Work is measured by the clients' estimates: a task of 200 ms is as much as two of 100 ms.
+/// Work is measured by the clients' estimates: one task of 200 ms equals two of 100 ms.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Throughput {
     concurrent_tasks: f64,
 }
 
 impl Throughput {
-    /// Adds up what each worker does for this entry; `tasks_of` says how many tasks it takes from it at a time.
+    /// Sums up all workers; `tasks_of` returns how many tasks a worker runs for this entry at a
+    /// time.
     pub(super) fn from_workers<'a>(
         workers: impl Iterator<Item = &'a WorkerLink>,
         tasks_of: impl Fn(&WorkerLink) -> f64,
@@ -22,18 +23,19 @@
         }
     }
 
-    /// Whether there are workers to tell by.
+    /// Whether any worker contributes to the estimate.
     pub(super) fn is_known(self) -> bool {
         self.concurrent_tasks > 0.0
     }
 
-    /// What is left where so much work comes, in milliseconds of work a millisecond; `None` for nothing.
+    /// Throughput left after `arriving` milliseconds of work per millisecond; `None` if nothing is
+    /// left.
     pub(super) fn minus(self, arriving: f64) -> Option<Self> {
         let concurrent_tasks = self.concurrent_tasks - arriving;
         (concurrent_tasks > 0.0).then_some(Self { concurrent_tasks })
     }
 
-    /// Time until so much work is done, in milliseconds; zero where nobody knows.
+    /// Time to process this much work, in milliseconds; zero if the throughput is unknown.
     pub(super) fn time_for_ms(self, work_ms: u64) -> u64 {
         if self.concurrent_tasks <= 0.0 {
             return 0;
--- a/src/core/dispatch/weighted_choice.rs
+++ b/src/core/dispatch/weighted_choice.rs
@@ -1,11 +1,11 @@
-//! A draw among workers by weight.
+//! Weighted random choice of a worker.
 
 use {super::worker_link::WorkerKey, rand::RngExt, rand_chacha::ChaCha8Rng};
 
-/// Draws one of the workers that are offered, each with a probability in proportion to its weight.
+/// Chooses one of the added workers with a probability proportional to its weight.
 ///
-/// Each is given the key `u^(1/weight)` with a random `u`, and the highest key wins (weighted
-/// sampling by Efraimidis and Spirakis); its logarithm orders alike and costs less.
+/// Each gets the key `u^(1/weight)` with a random `u`, and the largest key wins (weighted sampling
+/// by Efraimidis and Spirakis). The logarithm of the key has the same order and is cheaper.
 #[derive(Debug)]
 pub(super) struct WeightedChoice<'a> {
     rng: &'a mut ChaCha8Rng,
@@ -17,7 +17,7 @@
         Self { rng, best: None }
     }
 
-    /// Takes a worker into the draw; its weight is above zero.
+    /// Adds a worker; its weight must be positive.
     pub(super) fn add(&mut self, worker: WorkerKey, weight: f64) {
         let key = self.rng.random::<f64>().ln() / weight;
         if self.best.is_none_or(|(best, _)| key > best) {
--- a/src/core/dispatch/worker_link.rs
+++ b/src/core/dispatch/worker_link.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one agent and the worker beside it.
+//! State of one agent and its worker, as seen by an entry.
 
 use {
     super::{
@@ -16,16 +16,16 @@
 };
 
 new_key_type! {
-    /// Names an agent in the arena of its dispatcher.
+    /// Key of an agent in the dispatcher's slot map.
     pub(crate) struct WorkerKey;
 }
 
-/// Weight of the newest run in the learnt speed; ten runs or so make up most of it.
+/// Weight of the latest run in the moving average of the slowness; about ten runs dominate it.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// Bounds of the learnt speed, so that one strange run can't spoil it.
+/// Bounds of one run's ratio, so that an outlier can't distort the average.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.25, 4.0);
 
-/// A run that was ordered and is not known to be over.
+/// A run that may still be executing.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OpenRun {
     pub(super) job: JobKey,
@@ -37,36 +37,33 @@
     pub(super) stopping: bool,
 }
 
-/// One agent.
+/// One agent and its worker.
 #[derive(Debug)]
 pub(super) struct WorkerLink {
-    /// Its name.
     pub(super) agent: String,
-    /// Its session, while it has one.
+    /// The current session, if any.
     pub(super) link: Option<LinkId>,
-    /// Its worker, if that can take tasks.
+    /// The worker, if it accepts tasks.
     pub(super) view: Option<WorkerView>,
-    /// Newest time stamp of the agent, in microseconds on its clock.
+    /// Latest timestamp of the agent, in microseconds of its clock.
     pub(super) stamp_us: u64,
-    /// When that stamp arrived: upper bound of the right that its echo gives.
+    /// When that timestamp arrived; bounds the lease that its echo grants.
     pub(super) stamp_received_at: Instant,
-    /// When the agent was last heard.
     pub(super) last_heard_at: Instant,
-    /// When the last beat was sent.
     pub(super) heartbeat_sent_at: Option<Instant>,
-    /// Runs that may be at work there.
+    /// Runs that may still be executing there.
     pub(super) runs: BTreeMap<RunId, OpenRun>,
-    /// What became of its tasks.
     pub(super) health: RunnerHealth,
-    /// Nothing is ordered before then.
+    /// No start order is sent before then.
     pub(super) paused_until: Instant,
-    /// Run time divided by the clients' estimates.
+    /// Moving average of the run time divided by the client's estimate.
     pub(super) slowness: f64,
-    /// An order was turned away for want of room; the agent keeps that in mind and offers room in turn.
+    /// A start order was rejected for lack of capacity; the agent then reserves capacity for this
+    /// entry.
     capacity_requested: bool,
     report: CapacityReport,
     starts_sent: u32,
-    /// Orders that the report does not take account of.
+    /// Start orders that the report doesn't include yet, with their ordinals.
     unreported: VecDeque<(u32, Resources)>,
 }
 
@@ -91,7 +88,7 @@
         }
     }
 
-    /// Begins with a new session.
+    /// Starts a new session.
     pub(super) fn open_session(&mut self, now: Instant, link: LinkId, stamp_us: u64) {
         self.link = Some(link);
         self.view = None;
@@ -128,13 +125,13 @@
         }
     }
 
-    /// Notes that an order was turned away for want of room.
+    /// Records that a start order was rejected for lack of capacity.
     pub(super) const fn record_no_room(&mut self) {
         self.capacity_requested = true;
     }
 
-    /// Whether room that the agent offers on account of an order that it turned away is left unused; it is
-    /// to be told so once.
+    /// Clears the capacity request if the agent has reserved capacity that this entry doesn't use;
+    /// returns whether it did, so that the agent is notified once.
     pub(super) fn clear_unused_request(&mut self) -> bool {
         let is_unused =
             self.capacity_requested && self.report.free.cpu_milli > 0 && self.unreported.is_empty();
@@ -142,7 +139,7 @@
         is_unused
     }
 
-    /// The worker, if it takes tasks of this step at all.
+    /// The worker, if it accepts tasks of this step.
     pub(super) fn usable_view(
         &self,
         now: Instant,
@@ -163,31 +160,30 @@
         is_usable.then_some(view)
     }
 
-    /// Entries that share the worker, at least one.
+    /// Number of entries that share the worker, at least one.
     pub(super) fn entries(&self) -> f64 {
         f64::from(self.report.entries.max(1))
     }
 
-    /// What is free there, less what was ordered since the agent's report.
+    /// Free capacity in the latest report, less what was started since then.
     pub(super) fn free_capacity(&self) -> Resources {
         let starts = self.unreported.iter();
         starts.fold(self.report.free, |free, (_, needs)| free.minus(*needs))
     }
 
-    /// Whether another order like this may be sent before the agent's next report.
+    /// Whether another such start order may be sent before the agent's next report.
     ///
-    /// Answers load that comes to all entries at once, above all the queues that have formed when the agents
-    /// of a whole site are met again. Guards against orders that cross: each entry sees the same
-    /// room and would fill it by itself, and the worker would turn all but one of them away, again and
-    /// again. An entry therefore has no more under way than its share of the room that was reported;
-    /// one that orders alone gets its share of what is left with each report, two milliseconds apart.
+    /// All entries see the same free capacity. If each of them filled it, for example when the
+    /// agents of a whole site reconnect, the worker would reject most of the orders. An entry
+    /// therefore sends at most its share of the reported capacity between two reports; a single
+    /// active entry gets its share of the remainder with each report, every two milliseconds.
     pub(super) fn may_send_start(&self, needs: Resources) -> bool {
         let entries = u32::from(self.report.entries).max(1);
         let share = needs.times_in(self.report.free).div_ceil(entries);
         u32::try_from(self.unreported.len()).is_ok_and(|in_flight| in_flight < share)
     }
 
-    /// Learns how its run times compare with the estimates.
+    /// Updates the slowness.
     pub(super) fn record_run(&mut self, ran_ms: u64, estimate_ms: u64) {
         if estimate_ms == 0 {
             return;
