--- /dev/null
+++ b/src/core/execution/run_list.rs
@@ -0,0 +1,222 @@
+//! Application of the worker's run lists.
+
+use {
+    super::{
+        ExecutionAction, ExecutionLogEvent, Executor, HoldCall, HoldResponse, ListedEnd, ListedRun,
+        run::StartState, worker_state::ClockReading,
+    },
+    crate::core::{
+        link::{NotStartedReason, RunOutcome},
+        time::Instant,
+        work::TaskId,
+    },
+    std::collections::BTreeMap,
+};
+
+impl Executor {
+    pub(super) fn on_hold_answered(
+        &mut self,
+        now: Instant,
+        call: &HoldCall,
+        response: HoldResponse,
+    ) {
+        if call.wait_ms > 0
+            && let Some(worker) = &mut self.worker
+        {
+            worker.long_poll_since = None;
+        }
+        match response {
+            HoldResponse::RunList {
+                born_unix_ms,
+                clock_ms,
+                running,
+                ended,
+            } => {
+                if !self.is_current_incarnation(call, born_unix_ms) {
+                    self.suspend_restarted_worker(call, born_unix_ms);
+                    return;
+                }
+                let stale = self.is_stale(clock_ms);
+                self.record_clock(now, clock_ms);
+                self.apply_outcomes(now, &ended);
+                self.apply_running(now, call, &running, stale);
+            }
+            HoldResponse::Fenced => {
+                self.record_worker_response(now);
+                if call.token >= self.token {
+                    self.raise_token();
+                }
+            }
+            HoldResponse::OtherWorker | HoldResponse::Unanswered => self.record_failed_poll(now),
+        }
+    }
+
+    /// Whether a run list belongs to the known incarnation.
+    ///
+    /// A worker may restart under the same name, and responses of the earlier incarnation may
+    /// arrive late. Run lists of other incarnations are ignored until the worker reports.
+    fn is_current_incarnation(&self, call: &HoldCall, born_unix_ms: Option<u64>) -> bool {
+        self.worker.as_ref().is_some_and(|worker| {
+            let incarnation = &worker.view.life;
+            incarnation.id == call.worker
+                && born_unix_ms.is_none_or(|born| born == incarnation.born_unix_ms)
+        })
+    }
+
+    /// Sends no more starts to a worker that has restarted under the same name until it reports.
+    ///
+    /// Its clock is not known yet, so the lease of a start call could be too long.
+    fn suspend_restarted_worker(&mut self, call: &HoldCall, born_unix_ms: Option<u64>) {
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        let incarnation = &worker.view.life;
+        let is_newer = born_unix_ms.is_some_and(|born| born > incarnation.born_unix_ms);
+        if incarnation.id == call.worker && is_newer && worker.ready {
+            worker.ready = false;
+            self.announce_worker();
+        }
+    }
+
+    /// Whether a newer run list has already been applied.
+    fn is_stale(&self, clock_ms: u64) -> bool {
+        let clock = self.worker.as_ref().and_then(|worker| worker.clock);
+        clock.is_some_and(|known| clock_ms < known.clock_ms)
+    }
+
+    fn record_clock(&mut self, now: Instant, clock_ms: u64) {
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        worker.last_response_at = now;
+        worker.failed_polls = 0;
+        // Responses may arrive out of order; the clock never runs backwards.
+        if worker.clock.is_none_or(|known| clock_ms >= known.clock_ms) {
+            worker.clock = Some(ClockReading { clock_ms, at: now });
+        }
+    }
+
+    fn apply_outcomes(&mut self, now: Instant, ended: &[ListedEnd]) {
+        for listed in ended {
+            let Some(worker) = &mut self.worker else {
+                return;
+            };
+            if listed.sequence <= worker.last_seen_end {
+                continue;
+            }
+            worker.last_seen_end = listed.sequence;
+            let is_listed_number = |number: u32| number == listed.number;
+            if self
+                .runs
+                .get(&listed.task)
+                .is_some_and(|run| is_listed_number(run.number))
+            {
+                self.confirm_start(now, listed.task);
+                self.finish_run(now, listed.task, listed.end);
+            }
+        }
+    }
+
+    /// Records that the worker has started the run.
+    fn confirm_start(&mut self, now: Instant, task: TaskId) {
+        if let Some(run) = self.runs.get_mut(&task)
+            && !matches!(run.start, StartState::Confirmed { .. })
+        {
+            run.start = StartState::Confirmed { at: now };
+        }
+    }
+
+    /// Applies the list of running tasks.
+    ///
+    /// Responses on different connections may arrive out of order, and a stale list may still
+    /// contain a run that has finished. Only the newest list identifies orphaned runs.
+    fn apply_running(&mut self, now: Instant, call: &HoldCall, running: &[ListedRun], stale: bool) {
+        let listed: BTreeMap<TaskId, u32> =
+            running.iter().map(|run| (run.task, run.number)).collect();
+        if stale {
+            self.reconcile_runs(now, call, &listed);
+            return;
+        }
+        let orphans = self.stop_orphaned_runs(&listed);
+        self.reconcile_runs(now, call, &listed);
+        self.mark_worker_ready(call, orphans);
+    }
+
+    /// Stops runs that this process does not know: runs of an earlier process of this agent, and
+    /// starts that took effect after they had been resolved as not started.
+    fn stop_orphaned_runs(&mut self, listed: &BTreeMap<TaskId, u32>) -> usize {
+        let runs = &self.runs;
+        let is_orphan = |(task, number): &(&TaskId, &u32)| {
+            runs.get(*task).is_none_or(|run| run.number != **number)
+        };
+        let orphans: Vec<(TaskId, u32)> = listed
+            .iter()
+            .filter(is_orphan)
+            .map(|(task, number)| (*task, *number))
+            .collect();
+        for (task, number) in &orphans {
+            self.log_event(ExecutionLogEvent::StrayRun {
+                job: task.job.to_string(),
+                task: task.to_string(),
+                number: *number,
+            });
+            self.call_stop(*task, *number);
+        }
+        orphans.len()
+    }
+
+    /// Resolves uncertain starts and confirmed stops by whether their run is listed.
+    fn reconcile_runs(&mut self, now: Instant, call: &HoldCall, listed: &BTreeMap<TaskId, u32>) {
+        let mut finished = Vec::new();
+        for (task, run) in &mut self.runs {
+            let is_listed = listed.get(task) == Some(&run.number);
+            let stopped = run
+                .stop
+                .and_then(|stop| stop.confirmed_from_hold)
+                .is_some_and(|hold| call.sequence >= hold);
+            match run.start {
+                StartState::Unresolved { token, .. } if is_listed && token < call.token => {
+                    run.start = StartState::Confirmed { at: now };
+                }
+                StartState::Unresolved {
+                    token,
+                    may_have_started,
+                } if token < call.token => {
+                    let end = if may_have_started {
+                        RunOutcome::Lost
+                    } else {
+                        RunOutcome::NotStarted(NotStartedReason::OrderLost)
+                    };
+                    finished.push((*task, end));
+                }
+                StartState::Pending | StartState::Unresolved { .. } => {}
+                StartState::Confirmed { .. } if !is_listed && stopped => {
+                    finished.push((*task, RunOutcome::Stopped));
+                }
+                StartState::Confirmed { .. } => {}
+            }
+        }
+        for (task, end) in finished {
+            self.finish_run(now, task, end);
+        }
+    }
+
+    /// Marks the worker ready once its run list contains no orphaned runs.
+    fn mark_worker_ready(&mut self, call: &HoldCall, orphans: usize) {
+        let token = self.token;
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        if worker.ready || orphans > 0 || call.token < token {
+            return;
+        }
+        worker.ready = true;
+        let name = worker.view.life.id.clone();
+        self.actions.push(ExecutionAction::StaleRunsStopped);
+        self.log_event(ExecutionLogEvent::WorkerReady {
+            worker: name,
+            token,
+        });
+        self.announce_worker();
+    }
+}
--- a/src/core/home/demand.rs
+++ b/src/core/home/demand.rs
@@ -1,31 +1,30 @@
-//! How a home asks runners for slots when it knows of none that is free.
+//! Demands: requests for slots, sent to runners when no free slot is known.
 
 use {
     super::{Home, HomeAction, runner_link::RunnerLink},
     crate::core::{message::HomeFrame, ticket::AgentId, time::Instant},
 };
 
-/// Runners asked on behalf of a single task.
+/// Minimum number of runners that are sent a demand.
 ///
-/// Each further one shortens the wait for the first offer, and costs a withdrawal.
+/// Each further runner shortens the wait for the first offer and costs a withdrawal.
 const MIN_FANOUT: usize = 3;
 /// Time without an offer after which a demand no longer counts and further runners are asked.
 ///
-/// Guards against asking only runners that can't start anything, as those of a zone that is out:
-/// the task would wait for them for good.
-const ASK_MORE_AFTER_MS: u64 = 100;
-/// Wait of the oldest task from which on runners are asked, in milliseconds.
+/// A runner in a closed zone never makes an offer.
+const DEMAND_TIMEOUT_MS: u64 = 100;
+/// Minimum wait of the oldest task before demands are sent, in milliseconds.
 ///
-/// A home whose own runners are busy with its tasks mostly learns of a free slot from the end of
-/// one of them within that time, and has asked for nothing.
-const ASK_AFTER_MS: u64 = 15;
-/// Jobs looked at, oldest first, when the demand is reckoned.
-const JOBS_COUNTED: usize = 32;
-/// Messages of a withdrawn demand, or of an offer that is handed back.
-const MESSAGES_WITHDRAWN: u16 = 2;
+/// If the home's runners are busy with its own tasks, an outcome mostly reports a free slot within
+/// this time and no demand is needed.
+const DEMAND_DELAY_MS: u64 = 15;
+/// Maximum number of jobs, oldest first, that the demand is computed from.
+const MAX_JOBS_COUNTED: usize = 32;
+/// Messages of one withdrawn demand, or of one offer that is returned.
+const MESSAGES_PER_WITHDRAWAL: u16 = 2;
 
 impl Home {
-    /// Tells runners how many tasks wait for their slots, or that none does any more.
+    /// Sends demands to runners while tasks wait for a slot, and withdraws them otherwise.
     ///
     /// Returns whether tasks wait.
     pub(super) fn update_demands(&mut self, now: Instant) -> bool {
@@ -34,23 +33,26 @@
             return false;
         };
         let waited_ms = now.millis_since(since);
-        if waited_ms >= ASK_AFTER_MS || self.links.values().all(RunnerLink::is_unused) {
-            self.ask_runners(now, since, waiting);
+        if waited_ms >= DEMAND_DELAY_MS || self.links.values().all(RunnerLink::is_idle) {
+            self.send_demands(now, since, waiting);
         }
         true
     }
 
-    fn ask_runners(&mut self, now: Instant, since: Instant, waiting: usize) {
-        let chosen = self.runners_to_ask(now, waiting);
-        let Some(tasks) = waiting.checked_div(chosen.len()).map(|tasks| tasks.max(1)) else {
+    fn send_demands(&mut self, now: Instant, since: Instant, waiting: usize) {
+        let selected = self.select_runners(now, waiting);
+        let Some(tasks) = waiting
+            .checked_div(selected.len())
+            .map(|tasks| tasks.max(1))
+        else {
             return;
         };
         let tasks = u16::try_from(tasks).unwrap_or(u16::MAX);
-        for runner in chosen {
+        for runner in selected {
             let Some(link) = self.links.get_mut(&runner) else {
                 continue;
             };
-            link.demanded = tasks;
+            link.demanded_tasks = tasks;
             link.demanded_at = now;
             self.actions.push(HomeAction::Send {
                 runner,
@@ -63,22 +65,22 @@
         }
     }
 
-    /// Since when the oldest job waits, and how many tasks wait in the first jobs.
+    /// Submission time of the oldest waiting job, and number of queued tasks in the oldest jobs.
     fn waiting_tasks(&self) -> Option<(Instant, usize)> {
         let mut jobs = self
             .waiting
             .iter()
             .filter_map(|key| self.running_job(*key))
             .filter(|job| !job.queued.is_empty())
-            .take(JOBS_COUNTED)
+            .take(MAX_JOBS_COUNTED)
             .peekable();
         let since = jobs.peek()?.submitted_at;
         Some((since, jobs.map(|job| job.queued.len()).sum()))
     }
 
-    /// Runners of the oldest job that haven't been asked: own ones first, then those unheard for
-    /// longest, whose slots are the likeliest to have become free.
-    fn runners_to_ask(&self, now: Instant, waiting: usize) -> Vec<AgentId> {
+    /// Candidates of the oldest job without a pending demand: preferred runners first, then those
+    /// with the oldest reports, whose slots are most likely free by now.
+    fn select_runners(&self, now: Instant, waiting: usize) -> Vec<AgentId> {
         let Some(job) = self
             .waiting
             .iter()
@@ -86,33 +88,36 @@
         else {
             return Vec::new();
         };
-        let usable = |runner: &AgentId| {
+        let usable_link = |runner: &AgentId| {
             self.links
                 .get(runner)
                 .filter(|link| link.is_usable(now) && link.view(now).free_slots == 0)
         };
-        let mut unasked: Vec<(bool, Instant, AgentId)> = Vec::new();
-        let mut asked = 0;
+        let mut without_demand: Vec<(bool, Instant, AgentId)> = Vec::new();
+        let mut pending = 0;
         for runner in &job.candidates {
-            match usable(runner) {
-                Some(link) if link.demanded > 0 => {
+            match usable_link(runner) {
+                Some(link) if link.demanded_tasks > 0 => {
                     let waited_ms = now.millis_since(link.demanded_at);
-                    asked += usize::from(waited_ms < ASK_MORE_AFTER_MS);
+                    pending += usize::from(waited_ms < DEMAND_TIMEOUT_MS);
                 }
-                Some(link) => unasked.push((!link.own, link.heard_at, *runner)),
+                Some(link) => without_demand.push((!link.own, link.last_report_at, *runner)),
                 None => {}
             }
         }
-        unasked.sort_unstable();
-        let wanted = waiting.max(MIN_FANOUT).saturating_sub(asked);
-        unasked.truncate(wanted);
-        unasked.into_iter().map(|(_, _, runner)| runner).collect()
+        without_demand.sort_unstable();
+        let wanted = waiting.max(MIN_FANOUT).saturating_sub(pending);
+        without_demand.truncate(wanted);
+        without_demand
+            .into_iter()
+            .map(|(_, _, runner)| runner)
+            .collect()
     }
 
     fn withdraw_demands(&mut self) {
         for (runner, link) in &mut self.links {
-            let offered = link.offered();
-            if link.demanded == 0 && offered == 0 {
+            let offered = link.offered_slots();
+            if link.demanded_tasks == 0 && offered == 0 {
                 continue;
             }
             let kind = if offered > 0 {
@@ -120,7 +125,7 @@
             } else {
                 "demand_withdrawn"
             };
-            link.withdraw();
+            link.withdraw_demand();
             self.actions.push(HomeAction::Send {
                 runner: *runner,
                 epoch: link.epoch,
@@ -131,7 +136,7 @@
             });
             self.actions.push(HomeAction::CountWasted {
                 kind,
-                messages: MESSAGES_WITHDRAWN,
+                messages: MESSAGES_PER_WITHDRAWAL,
             });
         }
     }
--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -1,4 +1,4 @@
-//! What a home knows of one runner.
+//! A home's view of one runner.
 
 use {
     crate::core::{
@@ -12,29 +12,28 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Pause before a lost session is opened anew, in milliseconds.
-const REOPEN_PAUSE_MS: u64 = 100;
-/// Pause after a refusal that isn't about slots, in milliseconds.
-const REFUSAL_PAUSE_MS: u64 = 250;
+/// Delay before a session that failed to open is retried.
+const RECONNECT_INTERVAL_MS: u64 = 100;
+/// Time without new starts after a refusal for another reason than full slots.
+const REFUSAL_RETRY_INTERVAL_MS: u64 = 250;
 
-/// For how long after a job that could use a runner its session is reopened, in milliseconds.
-const SESSION_WANTED_MS: u64 = 30_000;
+/// Time after the last job that could use a runner during which its session is reopened.
+const SESSION_RETENTION_MS: u64 = 30_000;
 
-/// Age of a report from which on another home has probably started something there, in
-/// milliseconds.
-const OLD_REPORT_MS: u64 = 50;
+/// Age from which a report is stale: another home has probably used the slots since.
+const STALE_REPORT_MS: u64 = 50;
 
-/// Where the session to a runner stands.
+/// State of the session to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkState {
-    /// No session; one may be opened from `retry_at` on.
+    /// No session is open.
     Closed {
-        /// Not before this.
+        /// Earliest time of the next attempt.
         retry_at: Instant,
     },
-    /// The hello is under way.
+    /// The hello was sent.
     Opening,
-    /// The runner has welcomed the session.
+    /// The runner sent its welcome.
     Open,
 }
 
@@ -42,32 +41,32 @@
 #[derive(Debug)]
 pub(crate) struct RunnerLink {
     pub(crate) peer_addr: SocketAddr,
-    /// What became of the tasks that it was given.
+    /// Health, from the outcomes of its tasks.
     pub(crate) health: RunnerHealth,
-    /// This home looks to the runner first.
+    /// Whether this home prefers the runner.
     pub(crate) own: bool,
     pub(crate) state: LinkState,
-    /// Epoch of the newest session, zero before the first.
+    /// Epoch of the newest session; zero before the first.
     pub(crate) epoch: u64,
-    /// Since when no session has been open, while tasks are outstanding.
-    pub(crate) silent_since: Option<Instant>,
-    /// Tasks there, with the epoch that they were started on.
+    /// Start of the current period without an open session.
+    pub(crate) disconnected_since: Option<Instant>,
+    /// Tasks there, each with the epoch on which it was started.
     pub(crate) outstanding: BTreeMap<TaskRef, u64>,
     started_at: BTreeMap<TaskRef, Instant>,
-    /// Tasks that wait for a slot there, as last told to it.
-    pub(crate) demanded: u16,
-    /// When it was told so.
+    /// Number of tasks in the last demand sent, less the offers received since.
+    pub(crate) demanded_tasks: u16,
+    /// When the last demand was sent.
     pub(crate) demanded_at: Instant,
     free: FreeSlots,
     /// Starts sent on the newest session.
     starts_sent: u32,
-    pub(crate) heard_at: Instant,
+    pub(crate) last_report_at: Instant,
     paused_until: Instant,
-    wanted_until: Instant,
+    session_wanted_until: Instant,
 }
 
 impl RunnerLink {
-    /// A runner named by an entry.
+    /// A closed link to a runner that an entry named.
     pub(crate) fn new(now: Instant, candidate: &Candidate) -> Self {
         Self {
             peer_addr: candidate.peer_addr,
@@ -75,10 +74,10 @@
             own: candidate.own,
             state: LinkState::Closed { retry_at: now },
             epoch: 0,
-            silent_since: None,
+            disconnected_since: None,
             outstanding: BTreeMap::new(),
             started_at: BTreeMap::new(),
-            demanded: 0,
+            demanded_tasks: 0,
             demanded_at: Instant::default(),
             free: FreeSlots {
                 slots: candidate.free_slots,
@@ -86,67 +85,66 @@
                 starts_seen: 0,
             },
             starts_sent: 0,
-            heard_at: now,
+            last_report_at: now,
             paused_until: Instant::default(),
-            wanted_until: now,
+            session_wanted_until: now,
         }
     }
 
-    /// Takes in how many slots the runner has free.
+    /// Records the free slots that the runner reported.
     pub(crate) fn report_free(&mut self, now: Instant, free: FreeSlots) {
         self.free = free;
-        self.heard_at = now;
+        self.last_report_at = now;
     }
 
-    /// Takes in that a slot is held there for this home.
-    pub(crate) fn take_offer(&mut self, now: Instant, free: FreeSlots) {
+    /// Records an offer: a slot that is held for this home.
+    pub(crate) fn apply_offer(&mut self, now: Instant, free: FreeSlots) {
         self.report_free(now, free);
-        self.demanded = self.demanded.saturating_sub(1);
+        self.demanded_tasks = self.demanded_tasks.saturating_sub(1);
     }
 
-    /// Slots that can be counted on: starts under way to the runner are taken off.
+    /// Free slots, less the starts in flight.
     ///
-    /// Guards against counting a slot twice: a report that crosses a start on the way doesn't
-    /// know of it, and the next start would be refused.
+    /// A report that crosses a start doesn't include it, and the slot would be counted twice.
     pub(crate) fn free_slots(&self) -> u16 {
-        self.free.slots.saturating_sub(self.under_way())
+        self.free.slots.saturating_sub(self.starts_in_flight())
     }
 
-    /// Slots that are likely to be free still.
+    /// Free slots that are probably still free.
     ///
-    /// Another home looks first to a runner that isn't this one's own: its last report is old
-    /// news, and a start on the only slot in it would mostly be refused.
-    fn likely_free(&self, now: Instant) -> u16 {
-        let is_old = now.millis_since(self.heard_at) >= OLD_REPORT_MS;
+    /// A runner that isn't this home's own is preferred by another home, which has probably used a
+    /// slot since a stale report.
+    fn estimated_free_slots(&self, now: Instant) -> u16 {
+        let is_stale = now.millis_since(self.last_report_at) >= STALE_REPORT_MS;
         self.free_slots()
-            .saturating_sub(u16::from(is_old && !self.own))
+            .saturating_sub(u16::from(is_stale && !self.own))
     }
 
-    /// Slots held there for this home that no start is under way to.
-    pub(crate) fn offered(&self) -> u16 {
-        self.free.held.saturating_sub(self.under_way())
+    /// Slots held for this home, less the starts in flight.
+    pub(crate) fn offered_slots(&self) -> u16 {
+        self.free.held.saturating_sub(self.starts_in_flight())
     }
 
-    /// Gives back what is held there, and asks for nothing more.
-    pub(crate) fn withdraw(&mut self) {
-        self.demanded = 0;
+    /// Returns the held slots and clears the demand.
+    pub(crate) fn withdraw_demand(&mut self) {
+        self.demanded_tasks = 0;
         self.free.slots -= self.free.held;
         self.free.held = 0;
     }
 
-    /// Starts that the runner had not seen when it last reported.
-    fn under_way(&self) -> u16 {
-        let under_way = self.starts_sent.saturating_sub(self.free.starts_seen);
-        u16::try_from(under_way).unwrap_or(u16::MAX)
+    /// Starts that the runner had not received when it last reported.
+    fn starts_in_flight(&self) -> u16 {
+        let in_flight = self.starts_sent.saturating_sub(self.free.starts_seen);
+        u16::try_from(in_flight).unwrap_or(u16::MAX)
     }
 
-    /// Leaves the runner alone for a while.
+    /// Sends no tasks to the runner for [`REFUSAL_RETRY_INTERVAL_MS`].
     pub(crate) fn pause(&mut self, now: Instant) {
-        self.paused_until = now.plus_ms(REFUSAL_PAUSE_MS);
+        self.paused_until = now.plus_ms(REFUSAL_RETRY_INTERVAL_MS);
     }
 
-    /// Notes that a task was sent there.
-    pub(crate) fn note_start(&mut self, now: Instant, task: TaskRef) {
+    /// Records a start sent to the runner.
+    pub(crate) fn record_start(&mut self, now: Instant, task: TaskRef) {
         self.outstanding.insert(task, self.epoch);
         self.started_at.insert(task, now);
         self.starts_sent += 1;
@@ -158,62 +156,65 @@
         self.state == LinkState::Open && now >= self.paused_until && under_limit
     }
 
-    /// A job that the runner could take tasks of was submitted or asked after.
-    pub(crate) fn want_session(&mut self, now: Instant) {
-        self.wanted_until = now.plus_ms(SESSION_WANTED_MS);
+    /// Extends the time during which the session is reopened.
+    pub(crate) fn request_session(&mut self, now: Instant) {
+        self.session_wanted_until = now.plus_ms(SESSION_RETENTION_MS);
     }
 
-    /// Whether a session is of use.
-    pub(crate) fn is_wanted(&self, now: Instant) -> bool {
-        now < self.wanted_until || !self.outstanding.is_empty()
+    /// Whether the session is to be reopened if it is closed.
+    pub(crate) fn is_session_wanted(&self, now: Instant) -> bool {
+        now < self.session_wanted_until || !self.outstanding.is_empty()
     }
 
-    /// Forgets a task that has ended there; how long it took, if it was there.
-    pub(crate) fn end_task(&mut self, now: Instant, task: &TaskRef) -> Option<u64> {
+    /// Removes a task and returns its run time, or none if the task was not outstanding.
+    pub(crate) fn remove_task(&mut self, now: Instant, task: &TaskRef) -> Option<u64> {
         self.outstanding.remove(task)?;
         let started_at = self.started_at.remove(task).unwrap_or(now);
         Some(now.millis_since(started_at))
     }
 
-    /// Whether no end of a task there can tell of a free slot.
-    pub(crate) fn is_unused(&self) -> bool {
+    /// Whether no task is outstanding, so that no outcome can report a free slot.
+    pub(crate) fn is_idle(&self) -> bool {
         self.outstanding.is_empty()
     }
 
-    /// What placement sees.
+    /// The runner as placement sees it.
     pub(crate) fn view(&self, now: Instant) -> RunnerView {
         RunnerView {
             own: self.own,
-            free_slots: self.likely_free(now),
+            free_slots: self.estimated_free_slots(now),
             outstanding: u16::try_from(self.outstanding.len()).unwrap_or(u16::MAX),
-            heard_at: self.heard_at,
+            heard_at: self.last_report_at,
         }
     }
 
-    /// Notes the session's end and sets when to try anew.
-    pub(crate) fn lose_session(&mut self, now: Instant) {
+    /// Closes the link and sets the time of the next attempt.
+    pub(crate) fn record_disconnect(&mut self, now: Instant) {
         let failed_to_open = self.state == LinkState::Opening;
-        let pause_ms = if failed_to_open { REOPEN_PAUSE_MS } else { 0 };
+        let pause_ms = if failed_to_open {
+            RECONNECT_INTERVAL_MS
+        } else {
+            0
+        };
         self.state = LinkState::Closed {
             retry_at: now.plus_ms(pause_ms),
         };
-        if self.silent_since.is_none() {
-            self.silent_since = Some(now);
+        if self.disconnected_since.is_none() {
+            self.disconnected_since = Some(now);
         }
     }
 
-    /// The next epoch to open, if a session is wanted and may be opened now.
+    /// Starts a new session attempt and returns its epoch, if one may be opened now.
     ///
-    /// `last_epoch` counts the sessions of the whole home. Guards against a runner that refuses
-    /// its home for good: a link that was given up and met anew goes on counting where the runner
-    /// last saw it, so its sessions are newer than those that the runner remembers.
+    /// `last_epoch` is shared by all links of the home. A link that was removed and created again
+    /// continues with higher epochs, so the runner doesn't refuse its sessions as stale.
     pub(crate) fn next_epoch(&mut self, now: Instant, last_epoch: &mut u64) -> Option<u64> {
         match self.state {
             LinkState::Closed { retry_at } if now >= retry_at => {
                 *last_epoch += 1;
                 self.epoch = *last_epoch;
                 self.starts_sent = 0;
-                self.demanded = 0;
+                self.demanded_tasks = 0;
                 self.free.held = 0;
                 self.state = LinkState::Opening;
                 Some(self.epoch)
@@ -223,5 +224,5 @@
     }
 }
 
-/// All runners that a home has met.
+/// Links to all known runners.
 pub(crate) type RunnerLinks = BTreeMap<AgentId, RunnerLink>;
--- a/src/site_agent/worker_ear.rs
+++ b/src/site_agent/worker_report_handler.rs
@@ -1,4 +1,4 @@
-//! Takes what the worker says of itself.
+//! HTTP handler for the worker's reports.
 
 use {
     super::execution_loop::LoopInput,
@@ -14,37 +14,37 @@
     tokio::sync::mpsc,
 };
 
-/// Passes the worker's reports to the executor; what can't be read is counted and left aside.
+/// Passes the worker's reports to the executor; counts and rejects invalid ones.
 #[derive(Debug)]
-pub(super) struct WorkerEar {
+pub(super) struct WorkerReportHandler {
     pub(super) inputs: mpsc::UnboundedSender<LoopInput>,
     pub(super) metrics: Arc<dyn Metrics>,
 }
 
 #[async_trait]
-impl HttpHandler for WorkerEar {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        let word = match read_worker_word(&call.path, &call.body) {
+impl HttpHandler for WorkerReportHandler {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        let report = match read_worker_word(&request.path, &request.body) {
             None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
-                log::info!(error:% = error; "a worker's report can't be read");
+                log::info!(error:% = error; "invalid worker report");
                 return HttpResponse::empty(StatusCode::BAD_REQUEST);
             }
-            Some(Ok(word)) => word,
+            Some(Ok(report)) => report,
         };
         self.metrics.count(Counter::Announcements, "taken");
-        let event = match word {
+        let event = match report {
             WorkerReport::Heartbeat { view, sequence } => {
                 ExecutionEvent::Heartbeat { view, sequence }
             }
             WorkerReport::Leave { worker } => ExecutionEvent::WorkerLeft { worker },
         };
-        // The report is acknowledged once the executor has acted on it: a worker that is about to
-        // end counts on being given nothing more.
-        let (taken, acted) = tokio::sync::oneshot::channel();
-        let sent = self.inputs.send(LoopInput::Report { event, taken });
-        match (sent, acted.await) {
+        // The report is acknowledged after the executor has handled it: a worker that is about to
+        // exit relies on getting no more tasks.
+        let (handled, acknowledgement) = tokio::sync::oneshot::channel();
+        let sent = self.inputs.send(LoopInput::Report { event, handled });
+        match (sent, acknowledgement.await) {
             (Ok(()), Ok(())) => HttpResponse::json(StatusCode::OK, "{}"),
             _ => HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE),
         }
--- a/src/site_entry/site_process.rs
+++ b/src/site_entry/site_process.rs
@@ -1,7 +1,7 @@
-//! What entries and agents on a site have in common.
+//! Components that entries and agents on a site have in common.
 
 use {
-    super::{process_log_event::ProcessLogEvent, ready_probe::ServiceProbe},
+    super::{process_log_event::ProcessLogEvent, status_handlers::MetricsHandler},
     crate::{
         adapters::{
             http::{HttpHandler, serve_http},
@@ -17,7 +17,7 @@
     tokio::sync::watch,
 };
 
-/// Where a process counts and writes down what it does, and how it reaches the platform.
+/// Metrics, log and platform access of one process.
 #[derive(Debug)]
 pub(crate) struct SiteProcess {
     pub(crate) caller: PlatformCaller,
@@ -27,7 +27,7 @@
 }
 
 impl SiteProcess {
-    /// The process that has these settings.
+    /// Creates the components from the settings.
     pub(crate) fn new(site: &SiteSettings) -> Result<Self, RunError> {
         let metrics = OtelMetrics::new().map_err(RunError::metrics)?;
         let writer = DecisionWriter::start(&site.name).map_err(RunError::Runtime)?;
@@ -46,21 +46,19 @@
         site: &SiteSettings,
         stopped: watch::Receiver<bool>,
     ) -> Result<(), RunError> {
-        let readers = listen(site.metrics_listen).await?;
-        let probe: Arc<dyn HttpHandler> = Arc::new(ServiceProbe {
+        let listener = listen(site.metrics_listen).await?;
+        let handler: Arc<dyn HttpHandler> = Arc::new(MetricsHandler {
             metrics: Arc::clone(&self.metrics),
         });
-        tokio::spawn(serve_http(readers, probe, stopped));
+        tokio::spawn(serve_http(listener, handler, stopped));
         Ok(())
     }
 
-    /// Writes a change of the process itself down.
-    pub(crate) fn log_event(&self, change: &ProcessLogEvent) {
-        log_decision(&*self.decisions, LogPriority::Notable, change);
+    pub(crate) fn log_event(&self, event: &ProcessLogEvent) {
+        log_decision(&*self.decisions, LogPriority::Notable, event);
     }
 
-    /// Writes down that the process has begun.
-    pub(crate) fn note_started(&self, site: &SiteSettings) {
+    pub(crate) fn log_started(&self, site: &SiteSettings) {
         self.log_event(&ProcessLogEvent::Started {
             version: env!("CARGO_PKG_VERSION"),
             availability_zone: site.availability_zone.clone(),
--- a/src/site_entry/tests/site/paused_timer.rs
+++ b/src/site_entry/tests/site/paused_timer.rs
@@ -1,4 +1,4 @@
-//! The timer service on the paused clock of a test.
+//! Timer service on the paused clock of a test.
 
 use {
     super::HostModel,
@@ -7,7 +7,7 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// A host's clock; its ticks stop while the host is frozen.
+/// A host's clock, without ticks while the host is frozen.
 #[derive(Debug, Clone)]
 pub(super) struct PausedTimer {
     pub(super) host: Arc<HostModel>,
@@ -26,7 +26,7 @@
         tokio::spawn(async move {
             while !sender.is_closed() {
                 tokio::time::sleep(Duration::from_millis(period_ms)).await;
-                timer.host.thawed().await;
+                timer.host.wait_while_frozen().await;
                 let _ = sender.try_send(timer.now());
             }
         });
