--- /dev/null
+++ b/src/core/dispatch/placement.rs
@@ -0,0 +1,217 @@
+//! Selects the next task and the worker to run it.
+
+use {
+    super::{
+        DispatchAction, Dispatcher,
+        job::{Job, JobKey, Task, TaskState},
+        queue::WaitingTask,
+        weighted_choice::WeightedChoice,
+        worker_link::{OpenRun, WorkerKey, WorkerLink},
+    },
+    crate::core::{
+        link::{EntryFrame, EvacuatedZones, StartOrder},
+        time::Instant,
+        work::{Resources, StepSpec},
+    },
+    std::mem,
+};
+
+/// Number of waiting tasks without a fitting worker after which placement stops until the next
+/// event.
+///
+/// Tasks of a service are similar, so the following ones rarely fit either, and scanning the whole
+/// queue at each event would cost too much CPU time.
+const MAX_MISSES: usize = 24;
+/// Weight factor of a worker in the rack that holds the task's data; elsewhere a task takes 1.5 to
+/// 2 times as long.
+const DATA_RACK_FACTOR: f64 = 1e6;
+/// Weight factor of a worker on which the task is likely to fail; it is chosen only if there is no
+/// other.
+const AVOID_FACTOR: f64 = 1e-6;
+/// Minimum weight, for workers without free CPU and tasks that need none.
+const MIN_WEIGHT: f64 = 1e-4;
+
+impl Dispatcher {
+    /// Assigns waiting tasks to workers with free capacity.
+    pub(super) fn place_tasks(&mut self, now: Instant) {
+        let mut misses = 0;
+        let mut last_examined = None;
+        while misses < MAX_MISSES
+            && let Some(waiting) = self.queue.next_after(last_examined.as_ref())
+        {
+            last_examined = Some(waiting);
+            if !waiting.is_current(now) {
+                self.requeue(now, waiting);
+                continue;
+            }
+            if !self.place(now, &waiting) {
+                misses += 1;
+            }
+        }
+    }
+
+    /// Notifies agents that the capacity which they reserved is not needed.
+    pub(super) fn decline_unused_capacity(&mut self) {
+        for key in mem::take(&mut self.capacity_reported) {
+            let Some(worker) = self.workers.get_mut(key) else {
+                continue;
+            };
+            if let Some(link) = worker.link
+                && worker.clear_unused_request()
+            {
+                let frame = EntryFrame::Decline;
+                self.actions.push(DispatchAction::Send { link, frame });
+            }
+        }
+    }
+
+    /// Sends a task to a worker with free capacity; returns whether there is one.
+    fn place(&mut self, now: Instant, waiting: &WaitingTask) -> bool {
+        let Some(job) = self.jobs.get(waiting.job) else {
+            self.queue.remove(waiting);
+            return true;
+        };
+        let (Some(task), Some(step)) = (job.tasks.get(waiting.task), job.step(waiting.task)) else {
+            self.queue.remove(waiting);
+            return true;
+        };
+        if task.not_before > now {
+            return false;
+        }
+        let mut choice = WeightedChoice::new(&mut self.rng);
+        for (key, worker) in &self.workers {
+            if let Some(free) = free_capacity_for(now, worker, job, step, self.zones.as_ref())
+                && worker.may_send_start(step.needs)
+                && !is_at_task_limit(worker, job, task, step)
+            {
+                choice.add(key, weight(worker, free, step, is_risky(key, worker, task)));
+            }
+        }
+        let Some(worker) = choice.chosen() else {
+            return false;
+        };
+        self.queue.remove(waiting);
+        self.send_start(now, waiting, worker);
+        if waiting.not_begun {
+            self.place_remaining_tasks(now, waiting.job);
+        }
+        true
+    }
+
+    /// Places the other tasks of a job whose first task was just started. Those without a fitting
+    /// worker go before jobs that have not begun.
+    fn place_remaining_tasks(&mut self, now: Instant, key: JobKey) {
+        for waiting in self.queue.drain_job(key) {
+            self.enqueue(now, key, waiting.task);
+        }
+        let mut has_capacity = true;
+        while has_capacity && let Some(waiting) = self.queue.first_of_job(key) {
+            has_capacity = self.place(now, &waiting);
+        }
+    }
+
+    fn send_start(&mut self, now: Instant, waiting: &WaitingTask, key: WorkerKey) {
+        let (Some(job), Some(worker)) = (self.jobs.get_mut(waiting.job), self.workers.get_mut(key))
+        else {
+            return;
+        };
+        let Some(link) = worker.link else {
+            return;
+        };
+        let (needs, estimate_ms) = job
+            .step(waiting.task)
+            .map_or((Resources::default(), 0), |step| {
+                (step.needs, step.estimate_ms)
+            });
+        let Some(task) = job.tasks.get_mut(waiting.task) else {
+            return;
+        };
+        task.state = TaskState::Started;
+        task.last_run += 1;
+        let task = *task;
+        let run = job.run_id(&task);
+        job.open_runs += 1;
+        job.starts += 1;
+        job.last_start = now;
+        let order = StartOrder {
+            run,
+            spec: job.request.spec.clone(),
+            needs,
+            time_left_ms: job.deadline.millis_since(now),
+        };
+        worker.record_start(needs);
+        let open = OpenRun {
+            job: waiting.job,
+            task: waiting.task,
+            start_sent_at: now,
+            estimate_ms,
+            stopping: false,
+        };
+        worker.runs.insert(run, open);
+        let frame = EntryFrame::Start(order);
+        self.actions.push(DispatchAction::Send { link, frame });
+    }
+}
+
+/// Free capacity of a worker that accepts tasks of this step and has enough for one.
+pub(super) fn free_capacity_for(
+    now: Instant,
+    worker: &WorkerLink,
+    job: &Job,
+    step: &StepSpec,
+    zones: Option<&EvacuatedZones>,
+) -> Option<Resources> {
+    worker.usable_view(now, job, step, zones)?;
+    let is_below_limit = worker.runs.len() < usize::from(worker.health.max_tasks(now));
+    let accepts_tasks = is_below_limit && now >= worker.paused_until;
+    let free = worker.free_capacity();
+    (accepts_tasks && step.needs.fits(free)).then_some(free)
+}
+
+/// Weight of a worker for a task.
+///
+/// Entries choose among the same workers by reports that are some milliseconds old. If all of them
+/// took the emptiest worker, it would reject most of their start orders; a weighted random choice
+/// spreads the orders. Due to the square, an empty worker is four times as likely as one that is
+/// half full.
+fn weight(worker: &WorkerLink, free: Resources, step: &StepSpec, is_risky: bool) -> f64 {
+    let capacity = worker
+        .view
+        .as_ref()
+        .map_or(1, |view| view.capacity.cpu_milli.max(1));
+    let share = f64::from(free.cpu_milli) / f64::from(capacity);
+    let is_in_data_rack = step.data_rack.as_ref().is_some_and(|rack| {
+        worker
+            .view
+            .as_ref()
+            .is_some_and(|view| view.labels.contains(rack))
+    });
+    let data_rack_factor = if is_in_data_rack {
+        DATA_RACK_FACTOR
+    } else {
+        1.0
+    };
+    let risk_factor = if is_risky { AVOID_FACTOR } else { 1.0 };
+    (share / worker.slowness).powi(2).max(MIN_WEIGHT) * data_rack_factor * risk_factor
+}
+
+/// Whether the task should avoid this worker: its last run ended badly there, or it has failed
+/// before and the worker is not healthy.
+///
+/// Otherwise a few failing workers could use up all attempts of a task, although most workers are
+/// healthy.
+fn is_risky(key: WorkerKey, worker: &WorkerLink, task: &Task) -> bool {
+    task.avoid == Some(key) || (task.failed_runs > 0 && !worker.health.is_healthy())
+}
+
+/// Whether the worker already runs the maximum number of the step's tasks.
+fn is_at_task_limit(worker: &WorkerLink, job: &Job, task: &Task, step: &StepSpec) -> bool {
+    if step.most_per_worker == 0 {
+        return false;
+    }
+    let of_step = worker
+        .runs
+        .keys()
+        .filter(|run| run.task.job == job.id && run.task.step == task.step);
+    of_step.count() >= usize::from(step.most_per_worker)
+}
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -146,21 +146,21 @@
                 DispatchAction::Close { link } => {
                     self.links.remove(&link);
                 }
-                DispatchAction::Reply { waiter, answer } => {
-                    let (name, reason) = answer.name_and_reason();
+                DispatchAction::Reply { waiter, outcome } => {
+                    let (name, reason) = outcome.name_and_reason();
                     self.metrics.count(Counter::Answers, name);
-                    if matches!(answer, JobOutcome::NotRun { .. }) {
+                    if matches!(outcome, JobOutcome::NotRun { .. }) {
                         self.metrics.count(Counter::Refusals, reason);
                     }
                     // The client may have disconnected meanwhile.
                     if let Some(reply) = self.waiters.remove(&waiter) {
-                        let _ = reply.send(answer);
+                        let _ = reply.send(outcome);
                     }
                 }
                 DispatchAction::ApplyEvacuatedZones(zones) => {
                     self.rows_watcher.apply_zones(zones, "agent")
                 }
-                DispatchAction::TakeDocument(document) => {
+                DispatchAction::ApplyDocument(document) => {
                     self.rows_watcher.apply_document(document, "agent");
                 }
                 DispatchAction::Log(event) => self.log_event(&event),
