--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -117,7 +117,7 @@
 
     fn handle_event(&mut self, event: RunnerEvent) {
         let actions = self.runner.handle(self.timer.now(), event);
-        self.permit.set_until(self.runner.permit_until());
+        self.permit.set_expiry(self.runner.permit_until());
         for action in actions {
             self.execute(action);
         }
--- a/src/core/dispatch/queue.rs
+++ b/src/core/dispatch/queue.rs
@@ -1,8 +1,8 @@
-//! The order in which waiting tasks get a worker.
+//! The order in which waiting tasks are assigned to workers.
 //!
-//! Load that this answers: more work than the workers can do in time, for seconds. A queue in order of arrival
-//! would make everything late by the same time. This one serves what can still be in time, and of each priority
-//! what has begun first, then what is late and of use. What can be neither is given up.
+//! Under overload, first-in-first-out order would make all jobs equally late. This queue starts
+//! tasks first that can still meet their objective, within a priority those of begun jobs first,
+//! and late ones after them. Tasks that can't finish in time are given up.
 
 use {
     super::job::{Job, JobKey},
@@ -10,50 +10,50 @@
     std::{collections::BTreeSet, ops::Bound},
 };
 
-/// A task counts as in time if it may take so many hundredths longer than estimated.
+/// Percentage added to an estimate when deciding whether a task can be in time.
 ///
-/// Estimates are off by four tenths or so; without a margin a queue in overload would start each task at
-/// its last moment, and half of them would be late.
-const MARGIN_PERCENT: u64 = 25;
+/// Estimates are off by about 40 %. Without a margin an overloaded queue would start each task at
+/// its latest start, and half of them would be late.
+const ESTIMATE_MARGIN_PERCENT: u64 = 25;
 
-/// What starting a task now would lead to.
+/// How starting a task now relates to the job's deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Prospect {
-    /// An answer in time, or at least a whole one of a job that has begun.
+pub(super) enum DeadlineClass {
+    /// Meets the objective, or completes a job that has begun.
     InTime,
-    /// A late answer that is still of use.
+    /// Misses the objective, but stays within the late limit.
     Late,
-    /// An answer that comes too late to be of use, while its client still waits: it came back after an outage.
+    /// Exceeds the late limit, but the client still waits, for example with a job that it sends
+    /// again after an outage.
     Overdue,
 }
 
-/// A waiting task, in the order of starts.
+/// A waiting task. The order of the fields is the order of starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Waiting {
-    /// What starting it would lead to, when it was last looked at.
-    pub(super) prospect: Prospect,
-    /// The queue's priority; lower values go first.
+pub(super) struct WaitingTask {
+    /// As of the last evaluation.
+    pub(super) deadline_class: DeadlineClass,
+    /// The route's priority; lower values go first.
     pub(super) priority: u32,
-    /// Nothing of the job has begun.
+    /// No task of the job has started.
     ///
-    /// Guards against jobs of which a part runs and the rest waits until it is of no use: their clients can't
-    /// repeat them, and what ran was in vain. Of two jobs alike the rest of a begun one costs less, too.
-    pub(super) untouched: bool,
-    /// The latest start for that prospect.
+    /// Begun jobs go first: clients can't safely retry a job of which a part has run, and
+    /// completing it costs less than starting another one.
+    pub(super) not_begun: bool,
+    /// Latest start at which `deadline_class` still applies.
     pub(super) latest_start: Instant,
-    /// The job.
     pub(super) job: JobKey,
-    /// The task's position in it.
+    /// The task's position in the job.
     pub(super) task: usize,
-    /// The client's estimate of its run time.
+    /// The client's estimate of the run time, in milliseconds.
     pub(super) estimate_ms: u64,
 }
 
-impl Waiting {
-    /// A task that begins to wait or whose prospect has passed; `None` if it is of no use any more.
+impl WaitingTask {
+    /// Classifies a task for the queue; `None` if it can't finish in time any more.
     ///
-    /// All tasks of a job take `spread_ms` to start one after another. A job begins only while there is time
-    /// for that, too: begun at the last moment, it would be late by as much.
+    /// `spread_ms` is the expected time to start all waiting tasks of the job. A job that has not
+    /// begun must start that much earlier for its last task to be in time.
     pub(super) fn new(
         now: Instant,
         key: JobKey,
@@ -62,17 +62,17 @@
         spread_ms: u64,
     ) -> Option<Self> {
         let estimate_ms = job.step(task).map_or(0, |step| step.estimate_ms);
-        // A queue with a tight objective leaves less than the margin.
+        // With a tight objective, half of the slack is used instead of the full margin.
         let slack_ms = job.objective_ms.saturating_sub(estimate_ms);
-        let margin_ms = (estimate_ms * MARGIN_PERCENT / 100).min(slack_ms / 2);
-        let in_time = job.latest_start(estimate_ms + margin_ms);
-        let useful = job.last_useful_start(estimate_ms);
-        let last_start = useful.unwrap_or(job.last_start(estimate_ms));
-        let waiting = |prospect, latest_start| {
+        let margin_ms = (estimate_ms * ESTIMATE_MARGIN_PERCENT / 100).min(slack_ms / 2);
+        let in_time_start = job.latest_start(estimate_ms + margin_ms);
+        let late_start = job.last_useful_start(estimate_ms);
+        let last_start = late_start.unwrap_or(job.last_start(estimate_ms));
+        let waiting = |deadline_class, latest_start| {
             Some(Self {
-                prospect,
+                deadline_class,
                 priority: job.route.priority,
-                untouched: !job.has_begun(),
+                not_begun: !job.has_begun(),
                 latest_start,
                 job: key,
                 task,
@@ -83,46 +83,46 @@
             return None;
         }
         if job.has_begun() {
-            return waiting(Prospect::InTime, last_start);
+            return waiting(DeadlineClass::InTime, last_start);
         }
-        if let Some(in_time) = in_time.map(|in_time| in_time.minus_ms(spread_ms))
-            && now <= in_time
+        if let Some(in_time_start) =
+            in_time_start.map(|in_time_start| in_time_start.minus_ms(spread_ms))
+            && now <= in_time_start
         {
-            return waiting(Prospect::InTime, in_time);
+            return waiting(DeadlineClass::InTime, in_time_start);
         }
-        match useful {
-            Some(useful) => waiting(Prospect::Late, useful),
-            None => waiting(Prospect::Overdue, last_start),
+        match late_start {
+            Some(late_start) => waiting(DeadlineClass::Late, late_start),
+            None => waiting(DeadlineClass::Overdue, last_start),
         }
     }
 
-    /// Whether the prospect still holds.
-    pub(super) fn holds(&self, now: Instant) -> bool {
+    /// Whether `deadline_class` still applies.
+    pub(super) fn is_current(&self, now: Instant) -> bool {
         now <= self.latest_start
     }
 }
 
-/// What goes before a job.
+/// Work that starts before a job.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Ahead {
-    /// Tasks.
+pub(super) struct WorkAhead {
+    /// Number of tasks.
     pub(super) tasks: usize,
-    /// Their work, in milliseconds by the clients' estimates.
+    /// Work in milliseconds of estimated run time.
     pub(super) work_ms: u64,
 }
 
-/// Waiting tasks of all jobs.
 #[derive(Debug, Default)]
 pub(super) struct TaskQueue {
-    waiting: BTreeSet<Waiting>,
+    waiting: BTreeSet<WaitingTask>,
 }
 
 impl TaskQueue {
-    pub(super) fn insert(&mut self, waiting: Waiting) {
+    pub(super) fn insert(&mut self, waiting: WaitingTask) {
         self.waiting.insert(waiting);
     }
 
-    pub(super) fn remove(&mut self, waiting: &Waiting) {
+    pub(super) fn remove(&mut self, waiting: &WaitingTask) {
         self.waiting.remove(waiting);
     }
 
@@ -134,8 +134,8 @@
         self.waiting.is_empty()
     }
 
-    /// The first in the order of starts, or the one that follows another.
-    pub(super) fn after(&self, before: Option<&Waiting>) -> Option<Waiting> {
+    /// The first task in the order of starts, or the one that follows `before`.
+    pub(super) fn next_after(&self, before: Option<&WaitingTask>) -> Option<WaitingTask> {
         match before {
             None => self.waiting.first().copied(),
             Some(before) => {
@@ -145,43 +145,43 @@
         }
     }
 
-    pub(super) fn drop_job(&mut self, job: JobKey) {
+    pub(super) fn remove_job(&mut self, job: JobKey) {
         self.waiting.retain(|waiting| waiting.job != job);
     }
 
-    /// Tasks that start before another.
-    pub(super) fn ahead_of(&self, waiting: &Waiting) -> usize {
+    /// Number of tasks that start before `waiting`.
+    pub(super) fn count_before(&self, waiting: &WaitingTask) -> usize {
         self.waiting.range(..waiting).count()
     }
 
-    /// Tasks of other jobs that may be in time and are as urgent as this one, or more.
-    pub(super) fn as_urgent_as(&self, waiting: &Waiting) -> Ahead {
+    /// In-time tasks of other jobs with the same or a more urgent priority.
+    pub(super) fn work_ahead_of(&self, waiting: &WaitingTask) -> WorkAhead {
         let others = self.waiting.iter().filter(|other| {
             other.job != waiting.job
-                && other.prospect == Prospect::InTime
+                && other.deadline_class == DeadlineClass::InTime
                 && other.priority <= waiting.priority
         });
-        others.fold(Ahead::default(), |ahead, other| Ahead {
+        others.fold(WorkAhead::default(), |ahead, other| WorkAhead {
             tasks: ahead.tasks + 1,
             work_ms: ahead.work_ms + other.estimate_ms,
         })
     }
 
-    /// Work that waits, in milliseconds by the clients' estimates.
+    /// Work of all waiting tasks, in milliseconds of estimated run time.
     pub(super) fn work_ms(&self) -> u64 {
         self.waiting.iter().map(|waiting| waiting.estimate_ms).sum()
     }
 
-    /// The first of a job's tasks that wait.
-    pub(super) fn first_of(&self, job: JobKey) -> Option<Waiting> {
+    /// The job's first task in the order of starts.
+    pub(super) fn first_of_job(&self, job: JobKey) -> Option<WaitingTask> {
         self.waiting
             .iter()
             .find(|waiting| waiting.job == job)
             .copied()
     }
 
-    /// Takes out the tasks of a job that wait, in their order.
-    pub(super) fn take_job(&mut self, job: JobKey) -> Vec<Waiting> {
+    /// Removes the job's tasks and returns them in the order of starts.
+    pub(super) fn drain_job(&mut self, job: JobKey) -> Vec<WaitingTask> {
         self.waiting
             .extract_if(.., |waiting| waiting.job == job)
             .collect()
--- a/src/core/gate/permit.rs
+++ b/src/core/gate/permit.rs
@@ -1,31 +1,30 @@
-//! The runner's side of the zone gate.
+//! A runner's permit to start tasks.
 
 use crate::core::time::Instant;
 
-/// A runner's right to start tasks, good until a point on its own monotonic clock.
+/// A runner's permission to start tasks, which expires on its own monotonic clock.
 ///
-/// Guards against starts in an availability zone after operators took it out: a runner that is
-/// paused, cut off or told late holds no unexpired permit, and it checks just before the bytes
-/// go to the backend server. The permit counts from when the announcement was sent, so a reply
-/// that was under way for long grants no more than it should.
+/// A runner that is paused or disconnected can't start tasks in an evacuated zone, because its
+/// permit expires. The expiry is computed from when the announcement was sent, so a delayed
+/// reply doesn't extend the permit.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    until: Instant,
+    expires_at: Instant,
     config_version: u64,
 }
 
 impl Permit {
-    /// No permit yet.
+    /// An expired permit, for a runner that has received none.
     pub(crate) const fn unissued() -> Self {
         Self {
-            until: Instant::from_micros(0),
+            expires_at: Instant::from_micros(0),
             config_version: 0,
         }
     }
 
-    /// Takes in an entry's reply to the announcement sent at `sent_at`.
+    /// Applies an entry's reply to the announcement sent at `sent_at`.
     ///
-    /// Versions only grow: a reply from an entry that lags behind neither grants nor revokes.
+    /// Ignores replies with an older configuration version.
     pub(crate) fn renew(
         &mut self,
         sent_at: Instant,
@@ -38,23 +37,23 @@
         }
         self.config_version = config_version;
         if !zone_open {
-            self.until = Instant::default();
+            self.expires_at = Instant::default();
             return;
         }
-        self.until = self.until.max(sent_at.plus_ms(permit_ms));
+        self.expires_at = self.expires_at.max(sent_at.plus_ms(permit_ms));
     }
 
     /// Whether a task may start now.
     pub(crate) fn is_valid(&self, now: Instant) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
-    /// When the permit ends, for the check at the write.
-    pub(crate) const fn until(&self) -> Instant {
-        self.until
+    /// When the permit expires.
+    pub(crate) const fn expires_at(&self) -> Instant {
+        self.expires_at
     }
 
-    /// The newest configuration version seen.
+    /// The newest configuration version received.
     pub(crate) const fn config_version(&self) -> u64 {
         self.config_version
     }
--- a/src/core/home/admission.rs
+++ b/src/core/home/admission.rs
@@ -82,7 +82,7 @@
     fn is_trusted(&self, now: Instant, runner: AgentId) -> bool {
         self.links
             .get(&runner)
-            .is_some_and(|link| link.health.most_tasks(now) > 1)
+            .is_some_and(|link| link.health.max_tasks(now) > 1)
     }
 
     /// Ejects a runner whose tasks fail or run slowly.
@@ -97,7 +97,7 @@
             .count();
         let may_eject = (ejected + 1) * MIN_RUNNERS_PER_EJECTION <= self.links.len();
         if let Some(link) = self.links.get_mut(&runner)
-            && (may_eject || sample == HealthSample::Good)
+            && (may_eject || sample == HealthSample::Success)
             && let Some(reason) = link.health.record(now, sample)
         {
             self.actions.push(HomeAction::CountEjection(reason));
@@ -230,7 +230,7 @@
         TaskOutcome::Done { .. } if slow_ms.is_some_and(|slow_ms| ran_ms > slow_ms) => {
             Some(HealthSample::Slow)
         }
-        TaskOutcome::Done { .. } => Some(HealthSample::Good),
+        TaskOutcome::Done { .. } => Some(HealthSample::Success),
         TaskOutcome::Failed { .. }
         | TaskOutcome::MayHaveRun {
             reason: MayHaveRunReason::BackendLost,
--- a/src/core/tests/simulation.rs
+++ b/src/core/tests/simulation.rs
@@ -123,7 +123,7 @@
     ClientReply {
         client: usize,
         call: (usize, u64, u64),
-        answer: JobOutcome,
+        outcome: JobOutcome,
     },
     ClientDisconnect {
         client: usize,
@@ -404,8 +404,8 @@
             Event::ClientReply {
                 client,
                 call,
-                answer,
-            } => self.deliver_reply(client, call, answer),
+                outcome,
+            } => self.deliver_reply(client, call, outcome),
             Event::ClientDisconnect { client } => self.disconnect_client(client),
             Event::ClientDeadline { client } => self.expire_client(client),
             Event::StartFault(fault) => self.start_fault(fault),
@@ -461,20 +461,20 @@
                     self.schedule_at(at, Event::LinkLostAtAgent { link: link.0 });
                 }
             }
-            DispatchAction::Reply { waiter, answer } => {
+            DispatchAction::Reply { waiter, outcome } => {
                 let call = (entry, incarnation, waiter.0);
                 if let Some(client) = self.waiters.remove(&call) {
                     self.schedule_soon(Event::ClientReply {
                         client,
                         call,
-                        answer,
+                        outcome,
                     });
                 }
             }
             DispatchAction::ApplyEvacuatedZones(zones) => {
                 self.handle_entry_event(entry, DispatchEvent::EvacuatedZones(zones))
             }
-            DispatchAction::TakeDocument(document) => {
+            DispatchAction::ApplyDocument(document) => {
                 self.handle_entry_event(entry, DispatchEvent::Document(document));
             }
             DispatchAction::Log(event) => self.trace(format!("entry {entry}: {event:?}")),
@@ -740,9 +740,9 @@
     fn call_worker(&mut self, agent: usize, action: ExecutionAction) {
         let incarnation = self.agents[agent].incarnation;
         let (percent, until) = self.late_calls[agent];
-        let cut = self.worker_disconnected_until[agent] > self.now;
+        let unreachable = self.worker_disconnected_until[agent] > self.now;
         let late = self.now < until && self.rng.percent_chance(percent);
-        if cut || late {
+        if unreachable || late {
             let no_response_event = no_response(&action);
             self.schedule_in_ms(
                 160,
@@ -797,8 +797,8 @@
         let event = if self.worker_alive[worker] {
             match action {
                 ExecutionAction::Start(call) => {
-                    let answer = self.start_at_worker(worker, &call);
-                    ExecutionEvent::StartAnswered { call, answer }
+                    let response = self.start_at_worker(worker, &call);
+                    ExecutionEvent::StartAnswered { call, response }
                 }
                 ExecutionAction::Stop(call) => {
                     let is_addressed = call.worker == self.workers[worker].life.id;
@@ -806,12 +806,12 @@
                     ExecutionEvent::StopAnswered { call, confirmed }
                 }
                 ExecutionAction::Hold(call) => {
-                    let answer = if call.worker == self.workers[worker].life.id {
+                    let response = if call.worker == self.workers[worker].life.id {
                         self.workers[worker].hold(now, &call)
                     } else {
                         HoldResponse::OtherWorker
                     };
-                    ExecutionEvent::HoldAnswered { call, answer }
+                    ExecutionEvent::HoldAnswered { call, response }
                 }
                 _ => return,
             }
@@ -846,11 +846,11 @@
         } else {
             RunOutcome::Done
         };
-        let (answer, started) = self.workers[worker].start(now, call, run_ms, outcome);
+        let (response, started) = self.workers[worker].start(now, call, run_ms, outcome);
         if started {
             self.check_start(worker, call.task);
         }
-        answer
+        response
     }
 
     fn check_start(&mut self, worker: usize, task: crate::core::work::TaskId) {
@@ -979,17 +979,17 @@
         self.deliver_client_input(call, DispatchEvent::Submit(submission));
     }
 
-    fn deliver_reply(&mut self, client: usize, call: (usize, u64, u64), answer: JobOutcome) {
+    fn deliver_reply(&mut self, client: usize, call: (usize, u64, u64), outcome: JobOutcome) {
         if self.clients[client].pending_call != Some(call) {
             return;
         }
-        let (name, reason) = answer.name_and_reason();
+        let (name, reason) = outcome.name_and_reason();
         *self.report.outcome_counts.entry(name).or_default() += 1;
         self.trace(format!("client {client}: {name} {reason}"));
         let model = &mut self.clients[client];
         model.pending_call = None;
         model.got_reply = true;
-        match answer {
+        match outcome {
             JobOutcome::Completed => {
                 model.finished = true;
                 self.check_complete(client);
@@ -1251,7 +1251,7 @@
     match action.clone_call() {
         ExecutionAction::Start(call) => ExecutionEvent::StartAnswered {
             call,
-            answer: StartResponse::Unanswered,
+            response: StartResponse::Unanswered,
         },
         ExecutionAction::Stop(call) => ExecutionEvent::StopAnswered {
             call,
@@ -1259,7 +1259,7 @@
         },
         ExecutionAction::Hold(call) => ExecutionEvent::HoldAnswered {
             call,
-            answer: HoldResponse::Unanswered,
+            response: HoldResponse::Unanswered,
         },
         _ => ExecutionEvent::Tick,
     }
