--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -60,7 +60,7 @@
     pub(crate) fn backend_gone(&self) {
         if self.lock_heard().take().is_some() {
             log::info!("backend server is gone");
-            self.tell_runner(RunnerEvent::BackendGone);
+            self.tell_runner(RunnerEvent::BackendUnavailable);
             self.announce_now.notify_one();
         }
     }
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -113,7 +113,7 @@
     homes.set_here(id, home_inputs.clone());
     let (runner_inputs, runner_received) = mpsc::unbounded_channel();
     let runner_settings = RunnerSettings {
-        keep_outcome_ms: KEEP_OUTCOME_MS,
+        outcome_retention_ms: KEEP_OUTCOME_MS,
     };
     let runner = RunnerLoop {
         runner: Runner::new(id, runner_settings),
--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -91,7 +91,7 @@
             slots: self.runner.slots(),
             free_slots: self.runner.free_slots(),
             running: self.runner.running_count(),
-            unfetched: self.runner.unfetched_count(),
+            unfetched: self.runner.unacknowledged_count(),
             leaving: self.runner.is_leaving(),
             config_version: self.runner.config_version(),
         }
--- a/src/core/claim/claim.rs
+++ b/src/core/claim/claim.rs
@@ -14,12 +14,12 @@
     /// Key of the row.
     pub(crate) row: String,
     /// The ticket to bind.
-    pub(crate) fresh: Ticket,
+    pub(crate) new_ticket: Ticket,
 }
 
 /// Why a key was not bound; the claim itself started nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ClaimFault {
+pub(crate) enum ClaimError {
     /// More keys wait than the write budget can bind in time.
     QueueFull,
     /// The store refused the write, or it can't be told what it did.
--- a/src/core/claim/claim_queue.rs
+++ b/src/core/claim/claim_queue.rs
@@ -1,7 +1,7 @@
 //! Which claims are written together, and what their writes' outcomes mean.
 
 use {
-    super::{Claim, ClaimFault, ClaimId, write_budget::WriteBudget},
+    super::{Claim, ClaimError, ClaimId, write_budget::WriteBudget},
     crate::core::{ticket::Ticket, time::Instant},
     std::collections::{BTreeMap, VecDeque},
 };
@@ -32,7 +32,7 @@
     /// The key is bound to this ticket.
     Bound(ClaimId, Ticket),
     /// The key was not bound.
-    Failed(ClaimId, ClaimFault),
+    Failed(ClaimId, ClaimError),
 }
 
 /// Claims that wait for a write, and the one write that is under way.
@@ -43,34 +43,34 @@
 #[derive(Debug)]
 pub(crate) struct ClaimQueue {
     waiting: VecDeque<Claim>,
-    under_way: Vec<Claim>,
-    limit: usize,
+    in_flight: Vec<Claim>,
+    max_waiting: usize,
     budget: WriteBudget,
 }
 
 impl ClaimQueue {
     /// An empty queue of at most `limit` claims, for `writes_per_s` writes a second.
-    pub(crate) fn new(limit: usize, writes_per_s: u32) -> Self {
+    pub(crate) fn new(max_waiting: usize, writes_per_s: u32) -> Self {
         Self {
             waiting: VecDeque::new(),
-            under_way: Vec::new(),
-            limit,
+            in_flight: Vec::new(),
+            max_waiting,
             budget: WriteBudget::new(writes_per_s),
         }
     }
 
     /// Takes a claim in, or refuses it at once.
-    pub(crate) fn ask(&mut self, now: Instant, claim: Claim) -> Vec<ClaimAction> {
-        if self.waiting.len() >= self.limit {
-            return vec![ClaimAction::Failed(claim.id, ClaimFault::QueueFull)];
+    pub(crate) fn submit(&mut self, now: Instant, claim: Claim) -> Vec<ClaimAction> {
+        if self.waiting.len() >= self.max_waiting {
+            return vec![ClaimAction::Failed(claim.id, ClaimError::QueueFull)];
         }
         self.waiting.push_back(claim);
-        self.pump(now)
+        self.start_next_write(now)
     }
 
     /// Starts the next write if the budget allows it.
-    pub(crate) fn pump(&mut self, now: Instant) -> Vec<ClaimAction> {
-        if !self.under_way.is_empty() || self.waiting.is_empty() || !self.budget.take(now) {
+    pub(crate) fn start_next_write(&mut self, now: Instant) -> Vec<ClaimAction> {
+        if !self.in_flight.is_empty() || self.waiting.is_empty() || !self.budget.try_acquire(now) {
             return Vec::new();
         }
         let mut rows: BTreeMap<String, Claim> = BTreeMap::new();
@@ -80,48 +80,52 @@
             // The same key twice: the first one's ticket is bound, the second finds it.
             rows.entry(claim.row.clone())
                 .or_insert_with(|| claim.clone());
-            self.under_way.push(claim);
+            self.in_flight.push(claim);
         }
         vec![ClaimAction::Write(rows.into_values().collect())]
     }
 
     /// Takes in what became of the write under way.
-    pub(crate) fn written(&mut self, now: Instant, outcome: &WriteOutcome) -> Vec<ClaimAction> {
-        let claims = std::mem::take(&mut self.under_way);
+    pub(crate) fn handle_write_outcome(
+        &mut self,
+        now: Instant,
+        outcome: &WriteOutcome,
+    ) -> Vec<ClaimAction> {
+        let claims = std::mem::take(&mut self.in_flight);
         let mut actions = match outcome {
-            WriteOutcome::Committed => committed(claims),
-            WriteOutcome::Conflict(row) => self.conflicted(claims, row),
+            WriteOutcome::Committed => bind_claims(claims),
+            WriteOutcome::Conflict(row) => self.resolve_conflict(claims, row),
             WriteOutcome::Unavailable => claims
                 .into_iter()
-                .map(|claim| ClaimAction::Failed(claim.id, ClaimFault::StoreUnavailable))
+                .map(|claim| ClaimAction::Failed(claim.id, ClaimError::StoreUnavailable))
                 .collect(),
-            WriteOutcome::Unknown => claims.into_iter().map(read).collect(),
+            WriteOutcome::Unknown => claims.into_iter().map(read_action).collect(),
         };
-        actions.extend(self.pump(now));
+        actions.extend(self.start_next_write(now));
         actions
     }
 
-    fn conflicted(&mut self, claims: Vec<Claim>, row: &str) -> Vec<ClaimAction> {
-        let (bound, free): (Vec<Claim>, Vec<Claim>) =
+    fn resolve_conflict(&mut self, claims: Vec<Claim>, row: &str) -> Vec<ClaimAction> {
+        let (bound, unbound): (Vec<Claim>, Vec<Claim>) =
             claims.into_iter().partition(|claim| claim.row == row);
-        for claim in free.into_iter().rev() {
+        for claim in unbound.into_iter().rev() {
             self.waiting.push_front(claim);
         }
-        bound.into_iter().map(read).collect()
+        bound.into_iter().map(read_action).collect()
     }
 }
 
-fn committed(claims: Vec<Claim>) -> Vec<ClaimAction> {
+fn bind_claims(claims: Vec<Claim>) -> Vec<ClaimAction> {
     let mut bound: BTreeMap<String, Ticket> = BTreeMap::new();
     claims
         .into_iter()
         .map(|claim| {
-            let ticket = *bound.entry(claim.row).or_insert(claim.fresh);
+            let ticket = *bound.entry(claim.row).or_insert(claim.new_ticket);
             ClaimAction::Bound(claim.id, ticket)
         })
         .collect()
 }
 
-fn read(claim: Claim) -> ClaimAction {
+fn read_action(claim: Claim) -> ClaimAction {
     ClaimAction::Read(claim.id, claim.row)
 }
--- a/src/core/claim/mod.rs
+++ b/src/core/claim/mod.rs
@@ -8,6 +8,6 @@
 mod tests;
 
 pub(crate) use {
-    claim::{Claim, ClaimFault, ClaimId},
+    claim::{Claim, ClaimError, ClaimId},
     claim_queue::{ClaimAction, ClaimQueue, WriteOutcome},
 };
--- a/src/core/claim/tests.rs
+++ b/src/core/claim/tests.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::panic, reason = "a test that cannot go on must fail loudly")]
 
 use {
-    super::{Claim, ClaimAction, ClaimFault, ClaimId, ClaimQueue, WriteOutcome},
+    super::{Claim, ClaimAction, ClaimError, ClaimId, ClaimQueue, WriteOutcome},
     crate::core::{
         ticket::{AgentId, GrantSecret, Ticket},
         time::Instant,
@@ -19,7 +19,7 @@
 
 /// What the platform does with the next call.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum StoreBehavior {
     Normal,
     ReplyLost,
     RequestLost,
@@ -29,58 +29,66 @@
 /// One thing that happens.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Ask { entry: usize, key: u8 },
-    Write { entry: usize, fate: Fate },
-    Advance { ms: u64 },
+    Submit {
+        entry: usize,
+        key: u8,
+    },
+    Write {
+        entry: usize,
+        behavior: StoreBehavior,
+    },
+    Advance {
+        ms: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Normal),
-        1 => Just(Fate::ReplyLost),
-        1 => Just(Fate::RequestLost),
-        1 => Just(Fate::Down),
+    let behavior = prop_oneof![
+        4 => Just(StoreBehavior::Normal),
+        1 => Just(StoreBehavior::ReplyLost),
+        1 => Just(StoreBehavior::RequestLost),
+        1 => Just(StoreBehavior::Down),
     ];
     prop_oneof![
-        4 => (0..ENTRIES, 0..6_u8).prop_map(|(entry, key)| Step::Ask { entry, key }),
-        4 => (0..ENTRIES, fate).prop_map(|(entry, fate)| Step::Write { entry, fate }),
+        4 => (0..ENTRIES, 0..6_u8).prop_map(|(entry, key)| Step::Submit { entry, key }),
+        4 => (0..ENTRIES, behavior).prop_map(|(entry, behavior)| Step::Write { entry, behavior }),
         2 => (1..300_u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
 /// Two entries and one table; `bound` is the naive model: one map from key to ticket.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Instant,
     queues: Vec<ClaimQueue>,
     writes: Vec<Option<Vec<Claim>>>,
     table: BTreeMap<String, Ticket>,
-    asked: BTreeMap<ClaimId, String>,
-    replies: BTreeMap<ClaimId, Vec<Result<Ticket, ClaimFault>>>,
+    submitted: BTreeMap<ClaimId, String>,
+    replies: BTreeMap<ClaimId, Vec<Result<Ticket, ClaimError>>>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now: Instant::from_millis(1_000),
             queues: (0..ENTRIES).map(|_| ClaimQueue::new(8, 20)).collect(),
             writes: vec![None; ENTRIES],
             table: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             replies: BTreeMap::new(),
         }
     }
 
-    fn ask(&mut self, entry: usize, key: u8) {
-        let id = ClaimId(self.asked.len() as u64);
+    fn submit(&mut self, entry: usize, key: u8) {
+        let id = ClaimId(self.submitted.len() as u64);
         let row = format!("key {key}");
-        self.asked.insert(id, row.clone());
+        self.submitted.insert(id, row.clone());
         let claim = claim(id, &row);
-        let actions = self.queues[entry].ask(self.now, claim);
-        self.carry_out(entry, actions);
+        let actions = self.queues[entry].submit(self.now, claim);
+        self.execute(entry, actions);
     }
 
-    fn carry_out(&mut self, entry: usize, actions: Vec<ClaimAction>) {
+    fn execute(&mut self, entry: usize, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Write(claims) => {
@@ -89,58 +97,60 @@
                 }
                 ClaimAction::Read(id, row) => {
                     let found = self.table.get(&row).copied();
-                    self.reply(id, found.ok_or(ClaimFault::StoreUnavailable));
+                    self.reply(id, found.ok_or(ClaimError::StoreUnavailable));
                 }
                 ClaimAction::Bound(id, ticket) => self.reply(id, Ok(ticket)),
-                ClaimAction::Failed(id, fault) => self.reply(id, Err(fault)),
+                ClaimAction::Failed(id, error) => self.reply(id, Err(error)),
             }
         }
     }
 
-    fn reply(&mut self, id: ClaimId, reply: Result<Ticket, ClaimFault>) {
+    fn reply(&mut self, id: ClaimId, reply: Result<Ticket, ClaimError>) {
         self.replies.entry(id).or_default().push(reply);
     }
 
-    fn write(&mut self, entry: usize, fate: Fate) {
+    fn write(&mut self, entry: usize, behavior: StoreBehavior) {
         let Some(claims) = self.writes[entry].take() else {
             return;
         };
-        let outcome = match fate {
-            Fate::Down => WriteOutcome::Unavailable,
-            Fate::RequestLost => WriteOutcome::Unknown,
-            Fate::Normal => self.insert(&claims),
-            Fate::ReplyLost => {
+        let outcome = match behavior {
+            StoreBehavior::Down => WriteOutcome::Unavailable,
+            StoreBehavior::RequestLost => WriteOutcome::Unknown,
+            StoreBehavior::Normal => self.insert(&claims),
+            StoreBehavior::ReplyLost => {
                 self.insert(&claims);
                 WriteOutcome::Unknown
             }
         };
-        let actions = self.queues[entry].written(self.now, &outcome);
-        self.carry_out(entry, actions);
+        let actions = self.queues[entry].handle_write_outcome(self.now, &outcome);
+        self.execute(entry, actions);
     }
 
     /// The table's transaction: all rows, or none if one is there.
     fn insert(&mut self, claims: &[Claim]) -> WriteOutcome {
-        if let Some(taken) = claims.iter().find(|c| self.table.contains_key(&c.row)) {
-            return WriteOutcome::Conflict(taken.row.clone());
+        if let Some(conflicting) = claims.iter().find(|c| self.table.contains_key(&c.row)) {
+            return WriteOutcome::Conflict(conflicting.row.clone());
         }
-        let rows = claims.iter().map(|claim| (claim.row.clone(), claim.fresh));
+        let rows = claims
+            .iter()
+            .map(|claim| (claim.row.clone(), claim.new_ticket));
         self.table.extend(rows);
         WriteOutcome::Committed
     }
 
-    fn run_out(&mut self) {
+    fn finish_writes(&mut self) {
         for _ in 0..400 {
             for entry in 0..ENTRIES {
-                self.write(entry, Fate::Normal);
-                let actions = self.queues[entry].pump(self.now);
-                self.carry_out(entry, actions);
+                self.write(entry, StoreBehavior::Normal);
+                let actions = self.queues[entry].start_next_write(self.now);
+                self.execute(entry, actions);
             }
             self.now = self.now.plus_ms(50);
         }
     }
 
     fn check(&self) -> TestCaseResult {
-        for (id, row) in &self.asked {
+        for (id, row) in &self.submitted {
             let replies = self.replies.get(id).map_or(&[][..], Vec::as_slice);
             prop_assert_eq!(replies.len(), 1, "{:?} has one reply", id);
             if let Ok(ticket) = replies[0] {
@@ -157,7 +167,7 @@
     Claim {
         id,
         row: row.to_owned(),
-        fresh: grant.ticket(counter),
+        new_ticket: grant.ticket(counter),
     }
 }
 
@@ -173,30 +183,30 @@
     /// is down now and then. If the two came away with different tickets, the share would be paid
     /// twice.
     #[test]
-    fn one_key_ends_at_one_ticket(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
+    fn one_key_is_bound_to_one_ticket(steps in prop::collection::vec(step(), 1..120)) {
+        let mut simulation = Simulation::new();
         for step in steps {
             match step {
-                Step::Ask { entry, key } => world.ask(entry, key),
-                Step::Write { entry, fate } => world.write(entry, fate),
+                Step::Submit { entry, key } => simulation.submit(entry, key),
+                Step::Write { entry, behavior } => simulation.write(entry, behavior),
                 Step::Advance { ms } => {
-                    world.now = world.now.plus_ms(ms);
+                    simulation.now = simulation.now.plus_ms(ms);
                     for entry in 0..ENTRIES {
-                        let actions = world.queues[entry].pump(world.now);
-                        world.carry_out(entry, actions);
+                        let actions = simulation.queues[entry].start_next_write(simulation.now);
+                        simulation.execute(entry, actions);
                     }
                 }
             }
         }
-        world.run_out();
-        world.check()?;
+        simulation.finish_writes();
+        simulation.check()?;
     }
 }
 
 /// A burst of claims meets a budget of 20 writes a second. Without the budget each claim would be
 /// a write of its own, and the platform's table would be slow for everybody.
 #[test]
-fn claims_share_writes_and_the_rest_is_refused_at_once() {
+fn claims_are_batched_and_the_excess_is_refused() {
     let mut queue = ClaimQueue::new(100, 20);
     let mut writes = 0;
     let mut refused = 0;
@@ -206,19 +216,19 @@
         let mut actions = Vec::new();
         for number in 0..5 {
             let id = ClaimId(millisecond * 5 + number);
-            actions.extend(queue.ask(now, claim(id, &format!("key {}", id.0))));
+            actions.extend(queue.submit(now, claim(id, &format!("key {}", id.0))));
         }
-        actions.extend(queue.pump(now));
+        actions.extend(queue.start_next_write(now));
         while let Some(action) = actions.pop() {
             match action {
                 ClaimAction::Write(claims) => {
                     assert!(claims.len() <= 64);
                     writes += 1;
-                    actions.extend(queue.written(now, &WriteOutcome::Committed));
+                    actions.extend(queue.handle_write_outcome(now, &WriteOutcome::Committed));
                 }
                 ClaimAction::Bound(..) => bound += 1,
-                ClaimAction::Failed(_, fault) => {
-                    assert_eq!(fault, ClaimFault::QueueFull);
+                ClaimAction::Failed(_, error) => {
+                    assert_eq!(error, ClaimError::QueueFull);
                     refused += 1;
                 }
                 ClaimAction::Read(..) => panic!("nothing conflicts"),
--- a/src/core/claim/write_budget.rs
+++ b/src/core/claim/write_budget.rs
@@ -24,15 +24,12 @@
     }
 
     /// Takes one write out of the budget, if there is one.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
+    pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
         if self.next_at.micros_since(now) > 0 {
             return false;
         }
-        let saved_from = now.minus_micros(self.burst_micros);
-        self.next_at = self
-            .next_at
-            .max(saved_from)
-            .plus_micros(self.interval_micros);
+        let earliest = now.minus_micros(self.burst_micros);
+        self.next_at = self.next_at.max(earliest).plus_micros(self.interval_micros);
         true
     }
 }
--- a/src/core/dispatch/contact.rs
+++ b/src/core/dispatch/contact.rs
@@ -44,7 +44,7 @@
             return;
         };
         let after_ms = now.millis_since(handled_at);
-        if after_ms < self.settings.limits.silence_ms {
+        if after_ms < self.settings.limits.liveness_timeout_ms {
             return;
         }
         let open = self.open_jobs();
@@ -65,7 +65,7 @@
     /// job to another entry. A client that still waits sends its job again on "may have run", and comes
     /// back to an entry that has agents where nothing of it was started.
     pub(super) fn end_isolated_jobs(&mut self, now: Instant) {
-        let isolation_ms = self.settings.limits.isolation_ms;
+        let isolation_ms = self.settings.limits.isolation_timeout_ms;
         let heard_at = self.contact.heard_at;
         let is_isolated = |since: Instant| now.millis_since(since) >= isolation_ms;
         if !is_isolated(heard_at) {
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -123,7 +123,7 @@
             return;
         };
         self.document.lose_peer(link);
-        let over_after_ms = self.settings.limits.over_after_ms();
+        let over_after_ms = self.settings.limits.runs_stopped_after_ms();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
@@ -147,11 +147,11 @@
             let Some(worker) = self.workers.get(key) else {
                 continue;
             };
-            let silent = now.millis_since(worker.heard_at) >= limits.silence_ms;
-            let over = now.millis_since(worker.stamped_at) >= limits.over_after_ms();
+            let silent = now.millis_since(worker.heard_at) >= limits.liveness_timeout_ms;
+            let over = now.millis_since(worker.stamped_at) >= limits.runs_stopped_after_ms();
             let beat_due = worker
                 .beat_at
-                .is_none_or(|beat_at| now.millis_since(beat_at) >= limits.beat_ms());
+                .is_none_or(|beat_at| now.millis_since(beat_at) >= limits.heartbeat_interval_ms());
             match worker.link {
                 Some(link) if silent => {
                     self.actions.push(DispatchAction::Close { link });
--- a/src/core/dispatch/placing.rs
+++ b/src/core/dispatch/placing.rs
@@ -198,12 +198,12 @@
 
 /// Whether the worker has as many tasks of the step as it may.
 fn is_crowded(worker: &WorkerLink, job: &Job, task: &Task, step: &StepSpec) -> bool {
-    if step.most_per_worker == 0 {
+    if step.max_per_worker == 0 {
         return false;
     }
     let of_step = worker
         .runs
         .keys()
         .filter(|run| run.task.job == job.id && run.task.step == task.step);
-    of_step.count() >= usize::from(step.most_per_worker)
+    of_step.count() >= usize::from(step.max_per_worker)
 }
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -63,7 +63,7 @@
         after: Vec::new(),
         required_label: None,
         data_rack: None,
-        most_per_worker: 0,
+        max_per_worker: 0,
     }
 }
 
@@ -319,7 +319,7 @@
     let starts = bench.submit(job(1, 0, vec![step(1, 900)]));
     let (lost, _) = starts[0];
     bench.feed(DispatchEvent::LinkLost { link: LinkId(lost) });
-    let over_after_ms = RunLimits::for_resend(1_300, 50).over_after_ms();
+    let over_after_ms = RunLimits::for_resend(1_300, 50).runs_stopped_after_ms();
     bench.pass_ms(over_after_ms - 20);
     assert!(bench.starts().is_empty());
     bench.pass_ms(40);
--- a/src/core/execution/lease.rs
+++ b/src/core/execution/lease.rs
@@ -43,7 +43,7 @@
         let worker = self.worker.as_mut()?;
         let ClockReading { clock_ms, at } = worker.clock?;
         let until_ms = clock_ms + now.millis_since(at) + limits.lease_ms;
-        let over_at = now.plus_ms(limits.lapse_ms() + slow_clock_ms(now.millis_since(at)));
+        let over_at = now.plus_ms(limits.max_lease_ms() + slow_clock_ms(now.millis_since(at)));
         worker.lease_over_at = worker.lease_over_at.max(over_at);
         Some(until_ms)
     }
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -117,7 +117,7 @@
     /// from a stamp that this agent made, so bytes that were held up on the way extend it by
     /// nothing, and the entry knows an upper bound of it from when the stamp arrived there.
     fn on_beat(&mut self, now: Instant, session: SessionId, echo_us: u64, news_version: u64) {
-        let silence_ms = self.settings.limits.silence_ms;
+        let silence_ms = self.settings.limits.liveness_timeout_ms;
         let known = self.news.as_ref().map_or(0, |news| news.version);
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
@@ -235,7 +235,7 @@
 
     /// Gives up sessions whose entry's right has lapsed.
     pub(super) fn close_silent_sessions(&mut self, now: Instant) {
-        let silence_ms = self.settings.limits.silence_ms;
+        let silence_ms = self.settings.limits.liveness_timeout_ms;
         let silent: Vec<SessionId> = self
             .sessions
             .iter()
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -228,7 +228,7 @@
         bench.start(3, StartResponse::Accepted);
     } => NoRoom;
     an_entry_without_a_fresh_echo_starts_nothing: |bench| {
-        bench.now = bench.now.plus_ms(limits().silence_ms);
+        bench.now = bench.now.plus_ms(limits().liveness_timeout_ms);
     } => RightLapsed;
     a_process_that_is_to_end_starts_nothing: |bench| bench.feed(ExecutionEvent::Shutdown) => Draining;
 }
@@ -285,7 +285,7 @@
     let mut bench = Bench::ready();
     bench.start(1, StartResponse::Accepted);
     let mut stops = Vec::new();
-    for _ in 0..limits().silence_ms / 15 {
+    for _ in 0..limits().liveness_timeout_ms / 15 {
         bench.tick_after(15);
         stops.push(bench.stops());
         let closed = std::mem::take(&mut bench.actions);
--- a/src/core/home/tests/world.rs
+++ b/src/core/home/tests/world.rs
@@ -99,7 +99,7 @@
         self.next_id += 1;
         let id = AgentId(self.next_id);
         let settings = RunnerSettings {
-            keep_outcome_ms: KEEP_OUTCOME_MS,
+            outcome_retention_ms: KEEP_OUTCOME_MS,
         };
         let mut runner = Runner::new(id, settings);
         let services = vec![SERVICE.to_owned()];
--- a/src/core/routes/tests.rs
+++ b/src/core/routes/tests.rs
@@ -35,11 +35,11 @@
 }
 
 route_cases! {
-    the_longest_prefix_wins: "a.example" "/one/two/3" => Some("a.example/one/two/");
-    a_shorter_prefix_takes_the_rest: "a.example" "/one/tw" => Some("a.example/one/");
-    the_prefix_itself_is_a_match: "a.example" "/one/" => Some("a.example/one/");
-    another_host_has_other_routes: "b.example" "/one/two/3" => Some("b.example/");
-    an_unknown_host_has_none: "c.example" "/one/" => None;
-    an_unknown_path_has_none: "a.example" "/two/" => None;
-    a_path_that_is_cut_inside_a_character_has_none: "a.example" "/é" => None;
+    longest_prefix_wins: "a.example" "/one/two/3" => Some("a.example/one/two/");
+    path_outside_longer_prefix_matches_shorter_one: "a.example" "/one/tw" => Some("a.example/one/");
+    path_equal_to_prefix_matches: "a.example" "/one/" => Some("a.example/one/");
+    routes_are_separate_per_host: "b.example" "/one/two/3" => Some("b.example/");
+    unknown_host_does_not_match: "c.example" "/one/" => None;
+    unknown_path_does_not_match: "a.example" "/two/" => None;
+    multibyte_path_does_not_match_or_panic: "a.example" "/é" => None;
 }
--- a/src/core/runner/home_link.rs
+++ b/src/core/runner/home_link.rs
@@ -11,7 +11,7 @@
 
 /// An outcome that its home has not acknowledged.
 #[derive(Debug)]
-pub(crate) struct KeptOutcome {
+pub(crate) struct UnacknowledgedOutcome {
     pub(crate) outcome: TaskOutcome,
     pub(crate) epoch: u64,
     pub(crate) ended_at: Instant,
@@ -29,9 +29,9 @@
     /// Running tasks with the epoch they were started on.
     pub(crate) running: BTreeMap<TaskRef, u64>,
     /// Ended tasks until the home acknowledges them.
-    pub(crate) ended: BTreeMap<TaskRef, KeptOutcome>,
+    pub(crate) ended: BTreeMap<TaskRef, UnacknowledgedOutcome>,
     /// Outcomes of starts up to this epoch may have been dropped.
-    pub(crate) forgot_through_epoch: u64,
+    pub(crate) dropped_through_epoch: u64,
     /// When the link was last in use.
     pub(crate) used_at: Instant,
 }
@@ -44,29 +44,29 @@
     /// that was forgotten together with the link.
     pub(crate) fn new(epoch: u64) -> Self {
         Self {
-            forgot_through_epoch: epoch.saturating_sub(1),
+            dropped_through_epoch: epoch.saturating_sub(1),
             ..Self::default()
         }
     }
 
     /// Whether nothing of this home is left here that it could still ask for.
-    pub(crate) fn is_idle(&self, now: Instant, keep_ms: u64) -> bool {
+    pub(crate) fn is_idle(&self, now: Instant, retention_ms: u64) -> bool {
         self.session.is_none()
             && self.running.is_empty()
             && self.ended.is_empty()
-            && now.millis_since(self.used_at) >= keep_ms
+            && now.millis_since(self.used_at) >= retention_ms
     }
 
-    /// Drops outcomes that nobody asked for in `keep_ms`.
-    pub(crate) fn drop_old_outcomes(&mut self, now: Instant, keep_ms: u64) {
-        let mut forgot = self.forgot_through_epoch;
-        self.ended.retain(|_, kept| {
-            let keep = now.millis_since(kept.ended_at) < keep_ms;
-            if !keep {
-                forgot = forgot.max(kept.epoch);
+    /// Drops outcomes that nobody asked for in `retention_ms`.
+    pub(crate) fn drop_expired_outcomes(&mut self, now: Instant, retention_ms: u64) {
+        let mut dropped_through = self.dropped_through_epoch;
+        self.ended.retain(|_, record| {
+            let retain = now.millis_since(record.ended_at) < retention_ms;
+            if !retain {
+                dropped_through = dropped_through.max(record.epoch);
             }
-            keep
+            retain
         });
-        self.forgot_through_epoch = forgot;
+        self.dropped_through_epoch = dropped_through;
     }
 }
--- a/src/core/runner/runner.rs
+++ b/src/core/runner/runner.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         RunnerAction, RunnerEvent, SessionId,
-        home_link::{HomeLink, KeptOutcome},
+        home_link::{HomeLink, UnacknowledgedOutcome},
     },
     crate::core::{
         demand::DemandQueue,
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RunnerSettings {
     /// For how long an outcome that its home has not acknowledged is kept.
-    pub(crate) keep_outcome_ms: u64,
+    pub(crate) outcome_retention_ms: u64,
 }
 
 /// Starts tasks on the backend server beside it, each at most once.
@@ -71,7 +71,7 @@
     }
 
     /// Outcomes that their homes have not acknowledged.
-    pub(crate) fn unfetched_count(&self) -> usize {
+    pub(crate) fn unacknowledged_count(&self) -> usize {
         self.links.values().map(|link| link.ended.len()).sum()
     }
 
@@ -92,12 +92,12 @@
 
     /// Takes in one event and says what to do about it.
     pub(crate) fn handle(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
-        let mut actions = self.react(now, event);
+        let mut actions = self.handle_event(now, event);
         self.offer_slots(now, &mut actions);
         actions
     }
 
-    fn react(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
+    fn handle_event(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
         match event {
             RunnerEvent::Frame { session, frame } => self.on_frame(now, session, frame),
             RunnerEvent::SessionClosed { session } => self.on_session_closed(now, session),
@@ -107,7 +107,7 @@
                 self.slots = slots;
                 Vec::new()
             }
-            RunnerEvent::BackendGone => {
+            RunnerEvent::BackendUnavailable => {
                 self.services.clear();
                 Vec::new()
             }
@@ -127,11 +127,12 @@
             }
             RunnerEvent::Tick => {
                 self.demands.expire(now);
-                let keep_ms = self.settings.keep_outcome_ms;
+                let retention_ms = self.settings.outcome_retention_ms;
                 for link in self.links.values_mut() {
-                    link.drop_old_outcomes(now, keep_ms);
+                    link.drop_expired_outcomes(now, retention_ms);
                 }
-                self.links.retain(|_, link| !link.is_idle(now, keep_ms));
+                self.links
+                    .retain(|_, link| !link.is_idle(now, retention_ms));
                 Vec::new()
             }
         }
@@ -211,11 +212,11 @@
         if let Some(link) = self.links.get_mut(&home) {
             link.starts_seen += 1;
         }
-        if let Some(actions) = self.repeated_start(session, home, task) {
+        if let Some(actions) = self.deduplicate_start(session, home, task) {
             return actions;
         }
         let held = self.demands.take_hold(home);
-        if let Some(reason) = self.refusal(now, home, epoch, &start, held) {
+        if let Some(reason) = self.refusal_reason(now, home, epoch, &start, held) {
             return vec![
                 RunnerAction::CountRefusal(reason),
                 self.outcome_frame(session, home, task, TaskOutcome::NotRun { reason }),
@@ -233,7 +234,7 @@
     ///
     /// Guards against a second start, and against a home that waits for nothing: it may have
     /// given this runner up and offer a repeatable task anew, while the outcome is still kept.
-    fn repeated_start(
+    fn deduplicate_start(
         &self,
         session: SessionId,
         home: AgentId,
@@ -243,17 +244,17 @@
         if link.running.contains_key(&task) {
             return Some(Vec::new());
         }
-        let kept = link.ended.get(&task)?;
+        let record = link.ended.get(&task)?;
         Some(vec![self.outcome_frame(
             session,
             home,
             task,
-            kept.outcome.clone(),
+            record.outcome.clone(),
         )])
     }
 
     /// Why this start can't be taken, if it can't.
-    fn refusal(
+    fn refusal_reason(
         &self,
         now: Instant,
         home: AgentId,
@@ -281,11 +282,11 @@
     }
 
     fn on_cancel(&self, home: AgentId, task: TaskRef) -> Vec<RunnerAction> {
-        let runs = self
+        let is_running = self
             .links
             .get(&home)
             .is_some_and(|link| link.running.contains_key(&task));
-        if runs {
+        if is_running {
             vec![RunnerAction::Stop(task)]
         } else {
             Vec::new()
@@ -345,23 +346,23 @@
         // runner, and a kept record would make it look like a repeated start. Without a
         // record it counts as never started, which is the same truth.
         if !matches!(outcome, TaskOutcome::NotRun { .. }) {
-            let kept = KeptOutcome {
+            let record = UnacknowledgedOutcome {
                 outcome: outcome.clone(),
                 epoch,
                 ended_at: now,
             };
-            link.ended.insert(task, kept);
+            link.ended.insert(task, record);
         }
         let Some(session) = link.session else {
             return Vec::new();
         };
         // Slots are held for those who wait before the home is told what it may count on; it
         // hears of the outcome first, because a failure may leave it without use for an offer.
-        let mut offers = Vec::new();
-        self.offer_slots(now, &mut offers);
+        let mut actions = Vec::new();
+        self.offer_slots(now, &mut actions);
         let outcome = self.outcome_frame(session, task.ticket.home, task, outcome);
-        offers.insert(0, outcome);
-        offers
+        actions.insert(0, outcome);
+        actions
     }
 
     fn outcome_frame(
@@ -387,10 +388,10 @@
         if self.running.contains_key(&task) {
             return TaskStatus::Running;
         }
-        if let Some(kept) = self.ended.get(&task) {
-            return TaskStatus::Ended(kept.outcome.clone());
+        if let Some(record) = self.ended.get(&task) {
+            return TaskStatus::Ended(record.outcome.clone());
         }
-        if epoch <= self.forgot_through_epoch {
+        if epoch <= self.dropped_through_epoch {
             return TaskStatus::Forgotten;
         }
         TaskStatus::NeverStarted
--- a/src/core/runner/runner_event.rs
+++ b/src/core/runner/runner_event.rs
@@ -40,7 +40,7 @@
         slots: u16,
     },
     /// The backend server is silent, or said that it leaves.
-    BackendGone,
+    BackendUnavailable,
     /// The process is asked to stop: no new work.
     Shutdown,
     /// An entry answered an announcement.
--- a/src/core/runner/tests.rs
+++ b/src/core/runner/tests.rs
@@ -14,7 +14,7 @@
 };
 
 const HOME: AgentId = AgentId(1);
-const KEEP_OUTCOME_MS: u64 = 1_000;
+const OUTCOME_RETENTION_MS: u64 = 1_000;
 
 fn task(index: u16) -> TaskRef {
     let ticket = TicketId {
@@ -25,7 +25,7 @@
     TaskRef { ticket, index }
 }
 
-fn start(index: u16) -> StartFrame {
+fn start_frame(index: u16) -> StartFrame {
     StartFrame {
         task: task(index),
         service: "crew-share".to_owned(),
@@ -38,7 +38,7 @@
 
 fn runner() -> Runner {
     let settings = RunnerSettings {
-        keep_outcome_ms: KEEP_OUTCOME_MS,
+        outcome_retention_ms: OUTCOME_RETENTION_MS,
     };
     let mut runner = Runner::new(AgentId(2), settings);
     let services = vec!["crew-share".to_owned()];
@@ -57,13 +57,18 @@
     Instant::from_millis(now_ms)
 }
 
-fn frame(runner: &mut Runner, now_ms: u64, session: u64, frame: HomeFrame) -> Vec<RunnerAction> {
+fn send_frame(
+    runner: &mut Runner,
+    now_ms: u64,
+    session: u64,
+    frame: HomeFrame,
+) -> Vec<RunnerAction> {
     let session = SessionId(session);
     runner.handle(at(now_ms), RunnerEvent::Frame { session, frame })
 }
 
-fn hello(runner: &mut Runner, now_ms: u64, session: u64, epoch: u64) -> Vec<RunnerAction> {
-    frame(
+fn send_hello(runner: &mut Runner, now_ms: u64, session: u64, epoch: u64) -> Vec<RunnerAction> {
+    send_frame(
         runner,
         now_ms,
         session,
@@ -71,9 +76,15 @@
     )
 }
 
-fn status(runner: &mut Runner, now_ms: u64, session: u64, index: u16, epoch: u64) -> TaskStatus {
+fn query_status(
+    runner: &mut Runner,
+    now_ms: u64,
+    session: u64,
+    index: u16,
+    epoch: u64,
+) -> TaskStatus {
     let tasks = vec![(task(index), epoch)];
-    let actions = frame(runner, now_ms, session, HomeFrame::Query { tasks });
+    let actions = send_frame(runner, now_ms, session, HomeFrame::Query { tasks });
     match actions.into_iter().next() {
         Some(RunnerAction::Send {
             frame: RunnerFrame::Statuses { mut tasks },
@@ -87,10 +98,10 @@
 /// fetched, and later everything it knew of that home. The home wakes and asks. "Never started"
 /// would make it start the share payment a second time elsewhere.
 #[test]
-fn a_forgotten_home_is_never_told_never_started() {
+fn dropped_outcome_is_not_reported_as_never_started() {
     let mut runner = runner();
-    hello(&mut runner, 0, 1, 3);
-    frame(&mut runner, 0, 1, HomeFrame::Start(start(0)));
+    send_hello(&mut runner, 0, 1, 3);
+    send_frame(&mut runner, 0, 1, HomeFrame::Start(start_frame(0)));
     let session = SessionId(1);
     runner.handle(at(10), RunnerEvent::SessionClosed { session });
     let outcome = TaskOutcome::Done {
@@ -106,10 +117,13 @@
     runner.handle(at(1_100), RunnerEvent::Tick);
     assert!(runner.links.is_empty(), "idle links must not pile up");
 
-    hello(&mut runner, 2_000, 2, 4);
-    assert_eq!(status(&mut runner, 2_000, 2, 0, 3), TaskStatus::Forgotten);
+    send_hello(&mut runner, 2_000, 2, 4);
     assert_eq!(
-        status(&mut runner, 2_000, 2, 1, 4),
+        query_status(&mut runner, 2_000, 2, 0, 3),
+        TaskStatus::Forgotten
+    );
+    assert_eq!(
+        query_status(&mut runner, 2_000, 2, 1, 4),
         TaskStatus::NeverStarted
     );
 }
@@ -118,14 +132,17 @@
 /// session and is told that the task never started, so it starts the task elsewhere; then the old
 /// bytes arrive after all.
 #[test]
-fn a_start_on_a_replaced_session_never_runs() {
+fn start_on_replaced_session_is_not_run() {
     let mut runner = runner();
-    hello(&mut runner, 0, 1, 1);
-    hello(&mut runner, 1, 2, 2);
-    assert_eq!(status(&mut runner, 1, 2, 0, 1), TaskStatus::NeverStarted);
-    let late = frame(&mut runner, 2, 1, HomeFrame::Start(start(0)));
+    send_hello(&mut runner, 0, 1, 1);
+    send_hello(&mut runner, 1, 2, 2);
+    assert_eq!(
+        query_status(&mut runner, 1, 2, 0, 1),
+        TaskStatus::NeverStarted
+    );
+    let late = send_frame(&mut runner, 2, 1, HomeFrame::Start(start_frame(0)));
     assert_eq!(late, vec![RunnerAction::Close(SessionId(1))]);
-    let stale_hello = hello(&mut runner, 3, 3, 1);
+    let stale_hello = send_hello(&mut runner, 3, 3, 1);
     assert_eq!(stale_hello, vec![RunnerAction::Close(SessionId(3))]);
     assert_eq!(runner.running_count(), 0);
 }
@@ -137,12 +154,12 @@
             #[test]
             fn $name() {
                 let mut runner = runner();
-                hello(&mut runner, 0, 1, 1);
-                frame(&mut runner, 0, 1, HomeFrame::Start(start(0)));
+                send_hello(&mut runner, 0, 1, 1);
+                send_frame(&mut runner, 0, 1, HomeFrame::Start(start_frame(0)));
                 if let Some(event) = $event {
                     runner.handle(at(0), event);
                 }
-                let actions = frame(&mut runner, 0, 1, HomeFrame::Start(start(1)));
+                let actions = send_frame(&mut runner, 0, 1, HomeFrame::Start(start_frame(1)));
                 let reason = NotRunReason::$reason;
                 assert_eq!(actions[0], RunnerAction::CountRefusal(reason));
                 assert!(!actions.iter().any(|a| matches!(a, RunnerAction::Run(_))));
@@ -153,10 +170,10 @@
 }
 
 refusal_cases! {
-    a_full_runner_refuses: None::<RunnerEvent> => SlotsFull;
-    a_leaving_runner_refuses: Some(RunnerEvent::Shutdown) => Leaving;
-    a_runner_without_backend_server_refuses: Some(RunnerEvent::BackendGone) => BackendDown;
-    a_runner_in_a_closed_zone_refuses: Some(RunnerEvent::PermitRenewed {
+    full_runner_refuses_start: None::<RunnerEvent> => SlotsFull;
+    leaving_runner_refuses_start: Some(RunnerEvent::Shutdown) => Leaving;
+    runner_without_backend_server_refuses_start: Some(RunnerEvent::BackendUnavailable) => BackendDown;
+    runner_in_closed_zone_refuses_start: Some(RunnerEvent::PermitRenewed {
         sent_at: at(0),
         config_version: 2,
         zone_open: false,
@@ -166,11 +183,11 @@
 
 /// A frame is doubled on its way: the task must not start twice.
 #[test]
-fn a_doubled_start_runs_once() {
+fn duplicate_start_runs_once() {
     let mut runner = runner();
-    hello(&mut runner, 0, 1, 1);
-    let first = frame(&mut runner, 0, 1, HomeFrame::Start(start(0)));
-    assert_eq!(first, vec![RunnerAction::Run(start(0))]);
-    let doubled = frame(&mut runner, 0, 1, HomeFrame::Start(start(0)));
-    assert!(doubled.is_empty());
+    send_hello(&mut runner, 0, 1, 1);
+    let first = send_frame(&mut runner, 0, 1, HomeFrame::Start(start_frame(0)));
+    assert_eq!(first, vec![RunnerAction::Run(start_frame(0))]);
+    let duplicate = send_frame(&mut runner, 0, 1, HomeFrame::Start(start_frame(0)));
+    assert!(duplicate.is_empty());
 }
--- a/src/core/tests/seeds.rs
+++ b/src/core/tests/seeds.rs
@@ -77,7 +77,7 @@
 fn an_entry_that_does_not_wait_is_caught() {
     let naive = Setup {
         entry_limits: RunLimits {
-            silence_ms: 60,
+            liveness_timeout_ms: 60,
             lease_ms: 0,
             stop_ms: 0,
             ..Setup::sound().entry_limits
@@ -94,7 +94,7 @@
     let sound = Setup::sound();
     let naive = Setup {
         agent_limits: RunLimits {
-            silence_ms: 30_000,
+            liveness_timeout_ms: 30_000,
             ..sound.agent_limits
         },
         ..sound
--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -538,7 +538,7 @@
             limits: self.setup.agent_limits,
             first_token: token,
         };
-        let lapse_ms = settings.limits.lapse_ms() + 60;
+        let lapse_ms = settings.limits.max_lease_ms() + 60;
         let process = &mut self.agents[agent];
         process.life += 1;
         process.machine = Some(Executor::new(settings));
@@ -1249,7 +1249,7 @@
         after: Vec::new(),
         required_label: None,
         data_rack: None,
-        most_per_worker: 0,
+        max_per_worker: 0,
     };
     JobRequest {
         spec: Arc::from("spec"),
--- a/src/core/work/job_request.rs
+++ b/src/core/work/job_request.rs
@@ -36,7 +36,7 @@
     /// Label of the rack where the data lies.
     pub(crate) data_rack: Option<String>,
     /// Most tasks of the step on one worker; zero for no limit.
-    pub(crate) most_per_worker: u16,
+    pub(crate) max_per_worker: u16,
 }
 
 /// A job that needs no storing: its answer is given once it has ended.
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -4,7 +4,7 @@
     super::EntryState,
     crate::{
         core::{
-            claim::{Claim, ClaimAction, ClaimFault, ClaimId, ClaimQueue, WriteOutcome},
+            claim::{Claim, ClaimAction, ClaimError, ClaimId, ClaimQueue, WriteOutcome},
             ticket::Ticket,
             verdict::{MayHaveRunReason, NotRunReason, Verdict},
         },
@@ -34,7 +34,7 @@
 /// Pause between looks at the write budget, in milliseconds.
 const PUMP_MS: u64 = 5;
 
-type BoundReply = oneshot::Sender<Result<Ticket, ClaimFault>>;
+type BoundReply = oneshot::Sender<Result<Ticket, ClaimError>>;
 
 #[derive(Debug)]
 struct Inner {
@@ -85,7 +85,7 @@
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = self.timer.subscribe(PUMP_MS);
         while ticks.recv().await.is_some() {
-            let actions = self.lock().queue.pump(self.timer.now());
+            let actions = self.lock().queue.start_next_write(self.timer.now());
             self.carry_out(actions);
         }
     }
@@ -140,17 +140,24 @@
         self.bound(row).await.map_err(|_| unknown)
     }
 
-    async fn bind(self: &Arc<Self>, row: String, fresh: Ticket) -> Result<Ticket, ClaimFault> {
+    async fn bind(self: &Arc<Self>, row: String, new_ticket: Ticket) -> Result<Ticket, ClaimError> {
         let (reply, bound) = oneshot::channel();
         let actions = {
             let mut inner = self.lock();
             inner.next_id += 1;
             let id = ClaimId(inner.next_id);
             inner.waiters.insert(id, reply);
-            inner.queue.ask(self.timer.now(), Claim { id, row, fresh })
+            inner.queue.submit(
+                self.timer.now(),
+                Claim {
+                    id,
+                    row,
+                    new_ticket,
+                },
+            )
         };
         self.carry_out(actions);
-        bound.await.unwrap_or(Err(ClaimFault::StoreUnavailable))
+        bound.await.unwrap_or(Err(ClaimError::StoreUnavailable))
     }
 
     fn carry_out(self: &Arc<Self>, actions: Vec<ClaimAction>) {
@@ -168,7 +175,7 @@
         }
     }
 
-    fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimFault>) {
+    fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimError>) {
         if let Some(reply) = self.lock().waiters.remove(&id) {
             // A client that is gone asks again with the same key.
             let _ = reply.send(result);
@@ -182,13 +189,16 @@
             Err(StoreError::Unavailable(_)) => WriteOutcome::Unavailable,
             Err(StoreError::OutcomeUnknown(_)) => WriteOutcome::Unknown,
         };
-        let actions = self.lock().queue.written(self.timer.now(), &outcome);
+        let actions = self
+            .lock()
+            .queue
+            .handle_write_outcome(self.timer.now(), &outcome);
         self.carry_out(actions);
     }
 
     async fn read(self: Arc<Self>, id: ClaimId, row: String) {
         let found = self.bound(&row).await.ok().flatten();
-        self.reply(id, found.ok_or(ClaimFault::StoreUnavailable));
+        self.reply(id, found.ok_or(ClaimError::StoreUnavailable));
     }
 
     async fn bound(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
@@ -223,20 +233,20 @@
             .iter()
             .map(|claim| Put {
                 key: claim.row.clone(),
-                value: Some(claim.fresh.to_string()),
+                value: Some(claim.new_ticket.to_string()),
             })
             .collect(),
     }
 }
 
 /// The key was read as unbound, so nothing ran under it, and this request's ticket is not used.
-const fn not_bound(fault: ClaimFault) -> Verdict {
+const fn not_bound(fault: ClaimError) -> Verdict {
     match fault {
-        ClaimFault::QueueFull => Verdict::NotRun {
+        ClaimError::QueueFull => Verdict::NotRun {
             reason: NotRunReason::ClaimBudget,
             retry_after_ms: BUDGET_RETRY_AFTER_MS,
         },
-        ClaimFault::StoreUnavailable => Verdict::NotRun {
+        ClaimError::StoreUnavailable => Verdict::NotRun {
             reason: NotRunReason::StoreUnavailable,
             retry_after_ms: STORE_RETRY_AFTER_MS,
         },
--- a/src/platform/job_body.rs
+++ b/src/platform/job_body.rs
@@ -92,6 +92,6 @@
         after: body.after,
         required_label: label(body.requires),
         data_rack: label(body.data_rack),
-        most_per_worker: body.anti_affinity,
+        max_per_worker: body.anti_affinity,
     }
 }
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -126,7 +126,7 @@
     tokio::spawn(shared.worker_memory(&settings).run(newest_worker));
     tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
     shared.process.note_started(site);
-    let lapse_ms = site.limits.lapse_ms() + LEASE_SLACK_MS;
+    let lapse_ms = site.limits.max_lease_ms() + LEASE_SLACK_MS;
     tokio::spawn(dial_when_clean(
         shared.dialler(&settings),
         is_clean,
