--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -1,4 +1,4 @@
-//! The zone gate: permits under which a runner may start tasks.
+//! The zone gate: time-limited permits under which runners start tasks.
 
 mod pending_change;
 mod permit;
@@ -12,5 +12,5 @@
     pending_change::ChangeId,
     permit::Permit,
     shared_permit::SharedPermit,
-    zone_gate::{ChangeEnd, PERMIT_MS, ZoneGate},
+    zone_gate::{ChangeOutcome, PERMIT_DURATION_MS, ZoneGate},
 };
--- a/src/core/home/home.rs
+++ b/src/core/home/home.rs
@@ -1,13 +1,13 @@
-//! The home machine.
+//! The state machine of a home.
 
 use {
     super::{
         HomeAction, HomeEvent, WaiterId,
+        admission::RejectReason,
         answer_store::AnswerStore,
-        intake::Turndown,
         job_record::{JobRecord, JobState},
         runner_link::RunnerLinks,
-        ticket_ring::{JobKey, TicketRing, TicketState},
+        ticket_registry::{JobKey, TicketRegistry, TicketState},
     },
     crate::core::{
         admission::Admission,
@@ -26,17 +26,17 @@
     },
 };
 
-/// When to come back to another home, in milliseconds.
+/// Retry delay for clients of a home that is shutting down, in milliseconds.
 const LEAVING_RETRY_AFTER_MS: u64 = 50;
 
 /// Limits of a home.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HomeSettings {
-    /// For how long a granted ticket is good.
+    /// Lifetime of a granted ticket.
     pub(crate) ticket_ttl_ms: u64,
-    /// Most bytes of answers kept for resubmissions.
+    /// Maximum size of the answers stored for resubmissions.
     pub(crate) answers_limit_bytes: usize,
-    /// Silence of a runner after which its tasks are given up.
+    /// Time without a session after which a runner counts as lost.
     pub(crate) runner_lost_after_ms: u64,
 }
 
@@ -51,17 +51,18 @@
 pub(crate) struct Home {
     pub(super) id: AgentId,
     pub(super) settings: HomeSettings,
-    pub(super) ring: TicketRing,
+    pub(super) tickets: TicketRegistry,
     pub(super) jobs: SlotMap<JobKey, JobRecord>,
-    /// How many of the jobs run; most are kept only for their answers.
+    /// Number of running jobs; the other records only hold answers.
     pub(super) running: usize,
+    /// Jobs that may have queued tasks, oldest first.
     pub(super) waiting: VecDeque<JobKey>,
     pub(super) answers: AnswerStore,
     pub(super) links: RunnerLinks,
     pub(super) timers: BTreeSet<(Instant, Timer)>,
     /// Epoch of the newest session to any runner.
     pub(super) last_epoch: u64,
-    pub(super) ticked_at: Option<Instant>,
+    pub(super) last_tick_at: Option<Instant>,
     pub(super) placement: Box<dyn Placement>,
     pub(super) admission: Admission,
     pub(super) run_times: RunTimes,
@@ -79,7 +80,7 @@
     ) -> Self {
         Self {
             id,
-            ring: TicketRing::new(id, secret, settings.ticket_ttl_ms),
+            tickets: TicketRegistry::new(id, secret, settings.ticket_ttl_ms),
             jobs: SlotMap::with_key(),
             running: 0,
             waiting: VecDeque::new(),
@@ -87,7 +88,7 @@
             links: RunnerLinks::new(),
             timers: BTreeSet::new(),
             last_epoch: 0,
-            ticked_at: None,
+            last_tick_at: None,
             placement,
             admission: Admission::new(id.0),
             run_times: RunTimes::default(),
@@ -97,15 +98,15 @@
         }
     }
 
-    /// Grants tickets to the entry that the next announcement goes to.
+    /// Grants a block of tickets for an announcement; none during shutdown.
     pub(crate) fn grant(&mut self, now: Instant, count: u32) -> Option<TicketGrant> {
         if self.leaving {
             return None;
         }
-        Some(self.ring.grant(now, count))
+        Some(self.tickets.grant(now, count))
     }
 
-    /// Jobs that have not ended.
+    /// Number of running jobs.
     pub(crate) fn running_count(&self) -> usize {
         debug_assert_eq!(
             self.running,
@@ -117,7 +118,7 @@
         self.running
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and returns the resulting actions.
     pub(crate) fn handle(&mut self, now: Instant, event: HomeEvent) -> Vec<HomeAction> {
         match event {
             HomeEvent::Submit {
@@ -129,12 +130,12 @@
                 candidates,
                 wait_ms,
             } => {
-                self.meet(now, &candidates);
+                self.discover_runners(now, &candidates);
                 if by_key {
-                    self.release_not_run(&ticket, &spec);
+                    self.release_ticket_if_not_run(&ticket, &spec);
                 }
-                let verdict = self.judge(now, &spec, impossible);
-                self.on_submit(now, waiter, ticket, (spec, verdict), &candidates, wait_ms);
+                let admission = self.decide_admission(now, &spec, impossible);
+                self.on_submit(now, waiter, ticket, (spec, admission), &candidates, wait_ms);
             }
             HomeEvent::Poll {
                 waiter,
@@ -142,7 +143,7 @@
                 candidates,
                 wait_ms,
             } => {
-                self.meet(now, &candidates);
+                self.discover_runners(now, &candidates);
                 self.on_poll(now, waiter, ticket, &candidates, wait_ms);
             }
             HomeEvent::Cancel { waiter, ticket } => self.on_cancel(now, waiter, ticket),
@@ -165,11 +166,11 @@
         now: Instant,
         waiter: WaiterId,
         ticket: Ticket,
-        (spec, verdict): (JobSpec, Result<(), Turndown>),
+        (spec, admission): (JobSpec, Result<(), RejectReason>),
         candidates: &[Candidate],
         wait_ms: u64,
     ) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -186,8 +187,8 @@
             }
             TicketState::Unused => {
                 let key = self.start_job(now, ticket, spec, candidates);
-                if let Err(turndown) = verdict {
-                    self.end_refused(key, turndown);
+                if let Err(rejection) = admission {
+                    self.reject_job(key, rejection);
                 }
                 self.attach(now, waiter, key, &[], wait_ms);
             }
@@ -202,7 +203,7 @@
         candidates: &[Candidate],
         wait_ms: u64,
     ) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -212,7 +213,7 @@
     }
 
     fn on_cancel(&mut self, now: Instant, waiter: WaiterId, ticket: Ticket) {
-        match self.ring.state(&ticket) {
+        match self.tickets.state(&ticket) {
             TicketState::Forged => self.refuse(waiter, NotRunReason::TicketForged, 0),
             TicketState::Foreign => self.reply_foreign(waiter),
             TicketState::Expired => self.reply_expired(waiter),
@@ -227,21 +228,21 @@
         }
     }
 
-    /// Uses a ticket up without a job.
+    /// Marks a ticket as used without a job.
     ///
-    /// Guards against a submission that arrives after its cancellation, because it waited in a
-    /// socket or went through another entry: the canceller was told "not run", and so is it.
+    /// The cancellation was answered "not run", so a submission that arrives after it must not
+    /// start.
     fn cancel_unused(&mut self, ticket: Ticket) -> JobKey {
         let key = self.jobs.insert(JobRecord {
             ticket: ticket.id,
             digest: [0; 32],
             state: JobState::Cancelled,
         });
-        self.ring.record(&ticket.id, key);
+        self.tickets.record(&ticket.id, key);
         key
     }
 
-    /// Lets someone wait for a job, or answers at once if it has ended.
+    /// Registers a waiter for a job, or replies at once if the job has ended.
     fn attach(
         &mut self,
         now: Instant,
@@ -291,8 +292,10 @@
         self.reply(waiter, JobStatus::Refused(verdict));
     }
 
-    /// Guards against a false "not run": a process that took the place of a ticket's home, at the
-    /// same address, knows nothing of what ran there.
+    /// Replies to a request for a ticket of another home.
+    ///
+    /// This process may have replaced that home at the same address and doesn't know what ran
+    /// there, so "not run" could be false.
     fn reply_foreign(&mut self, waiter: WaiterId) {
         let verdict = Verdict::may_have_run(MayHaveRunReason::HomeLost);
         self.reply(waiter, JobStatus::Refused(verdict));
@@ -302,7 +305,7 @@
         self.actions.push(HomeAction::Reply { waiter, status });
     }
 
-    /// This home's process.
+    /// The process that this home belongs to.
     pub(crate) const fn id(&self) -> AgentId {
         self.id
     }
--- a/src/core/store_budget/mod.rs
+++ b/src/core/store_budget/mod.rs
@@ -1,7 +1,7 @@
-//! This entry's share of what the platform's store can take.
+//! Limits the rate of this entry's calls to the platform's store.
 
-mod bucket;
 mod store_budget;
+mod token_bucket;
 
 #[cfg(test)]
 mod tests;
--- a/src/site_entry/tests/site/host_model.rs
+++ b/src/site_entry/tests/site/host_model.rs
@@ -1,4 +1,4 @@
-//! A host and its link.
+//! Host of the simulation and its network link.
 
 use {
     std::{
@@ -8,12 +8,12 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// Most bytes under way on one connection.
+/// Maximum bytes in flight on one connection.
 const WINDOW_BYTES: usize = 64 << 10;
-/// Time from one host to another.
-const DELAY: Duration = Duration::from_millis(1);
+/// One-way latency.
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
-/// A host's link: what leaves shares its bandwidth, and so does what arrives.
+/// A host with a full-duplex link; connections share the bandwidth of each direction.
 #[derive(Debug)]
 pub(in crate::site_entry::tests) struct HostModel {
     bytes_per_ms: u64,
@@ -22,16 +22,16 @@
 
 #[derive(Debug)]
 struct HostState {
-    /// When all that waits to leave has left, and all that was sent here has arrived.
+    /// When the outbound and the inbound queue are empty.
     idle_at: [Instant; 2],
     frozen_until: Instant,
-    /// When the host was last disturbed.
+    /// When the host last started, stopped or thawed.
     disturbed_at: Instant,
 }
 
-/// Position of a direction in the times at which the link is idle.
-const OUT: usize = 0;
-const IN: usize = 1;
+/// Indexes into `HostState::idle_at`.
+const OUTBOUND: usize = 0;
+const INBOUND: usize = 1;
 
 impl HostModel {
     pub(super) fn new(mbit_per_s: u64) -> Self {
@@ -50,34 +50,34 @@
         self.state.lock().expect("lock")
     }
 
-    /// When bytes that are sent now have passed the link.
-    fn pass(&self, direction: usize, bytes: usize) -> Instant {
+    /// Queues bytes on the link; returns when they have passed it.
+    fn reserve_link(&self, direction: usize, bytes: usize) -> Instant {
         let mut state = self.state();
-        let begins_at = state.idle_at[direction].max(Instant::now());
+        let starts_at = state.idle_at[direction].max(Instant::now());
         let micros = bytes as u64 * 1_000 / self.bytes_per_ms;
-        state.idle_at[direction] = begins_at + Duration::from_micros(micros);
+        state.idle_at[direction] = starts_at + Duration::from_micros(micros);
         state.idle_at[direction]
     }
 
-    /// Sends bytes to another host, a window at a time.
+    /// Sends bytes to another host, one window at a time.
     pub(super) async fn send(&self, to: &Self, bytes: usize) {
-        self.thawed().await;
+        self.wait_while_frozen().await;
         for window in windows(bytes) {
-            let left_at = self.pass(OUT, window);
-            sleep_until(left_at.max(to.pass(IN, window)) + DELAY).await;
+            let sent_at = self.reserve_link(OUTBOUND, window);
+            sleep_until(sent_at.max(to.reserve_link(INBOUND, window)) + LINK_DELAY).await;
         }
-        to.thawed().await;
+        to.wait_while_frozen().await;
     }
 
-    /// Receives a window of bytes from the store; the acknowledgement of each waits behind what leaves.
+    /// Receives a window of bytes from the store; its acknowledgement waits for the outbound queue.
     pub(super) async fn receive(&self, bytes: usize) {
-        sleep_until(self.pass(IN, bytes) + DELAY).await;
-        sleep_until(self.pass(OUT, 0) + DELAY).await;
-        self.thawed().await;
+        sleep_until(self.reserve_link(INBOUND, bytes) + LINK_DELAY).await;
+        sleep_until(self.reserve_link(OUTBOUND, 0) + LINK_DELAY).await;
+        self.wait_while_frozen().await;
     }
 
-    /// Waits until the host is at work.
-    pub(super) async fn thawed(&self) {
+    /// Waits until the host is not frozen.
+    pub(super) async fn wait_while_frozen(&self) {
         loop {
             let frozen_until = self.state().frozen_until;
             if Instant::now() >= frozen_until {
@@ -94,19 +94,19 @@
         state.disturbed_at = until;
     }
 
-    pub(super) fn disturb(&self) {
+    pub(super) fn mark_disturbed(&self) {
         let mut state = self.state();
         state.disturbed_at = state.disturbed_at.max(Instant::now());
     }
 
-    /// For how long the host has not been disturbed.
-    pub(super) fn calm_for(&self) -> Duration {
+    /// Time since the host last started, stopped or thawed.
+    pub(super) fn undisturbed_for(&self) -> Duration {
         let disturbed_at = self.state().disturbed_at;
         Instant::now().saturating_duration_since(disturbed_at)
     }
 }
 
-/// Sizes of the windows in which so many bytes cross.
+/// Splits a number of bytes into window sizes.
 pub(super) fn windows(bytes: usize) -> impl Iterator<Item = usize> {
     (0..bytes.max(1))
         .step_by(WINDOW_BYTES)
