--- a/src/core/dispatch/connectivity.rs
+++ b/src/core/dispatch/connectivity.rs
@@ -65,9 +65,9 @@
     /// client that still waits retries on "may have run", and retries at an entry with agents if
     /// nothing was started.
     pub(super) fn end_isolated_jobs(&mut self, now: Instant) {
-        let isolation_ms = self.settings.limits.isolation_timeout_ms;
+        let isolation_timeout_ms = self.settings.limits.isolation_timeout_ms;
         let last_heard_at = self.connectivity.last_heard_at;
-        let is_isolated = |since: Instant| now.millis_since(since) >= isolation_ms;
+        let is_isolated = |since: Instant| now.millis_since(since) >= isolation_timeout_ms;
         if !is_isolated(last_heard_at) {
             return;
         }
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -126,12 +126,12 @@
             return;
         };
         self.document.lose_peer(link);
-        let over_after_ms = self.settings.limits.runs_stopped_after_ms();
+        let runs_stopped_after_ms = self.settings.limits.runs_stopped_after_ms();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         worker.link = None;
-        let runs_finished_at = worker.stamp_received_at.plus_ms(over_after_ms);
+        let runs_finished_at = worker.stamp_received_at.plus_ms(runs_stopped_after_ms);
         let event = DispatchLogEvent::AgentLost {
             agent: worker.agent.clone(),
             cause,
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -322,8 +322,8 @@
     dispatcher.send_event(DispatchEvent::LinkLost {
         link: LinkId(disconnected),
     });
-    let over_after_ms = RunLimits::for_resend(1_300, 50).runs_stopped_after_ms();
-    dispatcher.advance_ms(over_after_ms - 20);
+    let runs_stopped_after_ms = RunLimits::for_resend(1_300, 50).runs_stopped_after_ms();
+    dispatcher.advance_ms(runs_stopped_after_ms - 20);
     assert!(dispatcher.starts().is_empty());
     dispatcher.advance_ms(40);
     assert_eq!(dispatcher.starts().len(), 1);
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -126,12 +126,13 @@
         echo_us: u64,
         news_version: u64,
     ) {
-        let silence_ms = self.settings.limits.liveness_timeout_ms;
+        let liveness_timeout_ms = self.settings.limits.liveness_timeout_ms;
         let known = self.zones.as_ref().map_or(0, |zones| zones.version);
         let Some(link) = self.sessions.get_mut(&session) else {
             return;
         };
-        let proven_until = Instant::from_micros(echo_us.min(now.as_micros())).plus_ms(silence_ms);
+        let proven_until =
+            Instant::from_micros(echo_us.min(now.as_micros())).plus_ms(liveness_timeout_ms);
         link.lease_until = link.lease_until.max(proven_until);
         if news_version >= known {
             link.zones_outdated_since = None;
@@ -249,13 +250,14 @@
 
     /// Closes sessions whose lease has expired.
     pub(super) fn close_unresponsive_sessions(&mut self, now: Instant) {
-        let silence_ms = self.settings.limits.liveness_timeout_ms;
+        let liveness_timeout_ms = self.settings.limits.liveness_timeout_ms;
         let unresponsive: Vec<SessionId> = self
             .sessions
             .iter()
             .filter(|(_, link)| {
-                now >= link.lease_until && now.millis_since(link.last_received_at) >= silence_ms
-                    || now >= link.lease_until.plus_ms(silence_ms)
+                now >= link.lease_until
+                    && now.millis_since(link.last_received_at) >= liveness_timeout_ms
+                    || now >= link.lease_until.plus_ms(liveness_timeout_ms)
             })
             .map(|(session, _)| *session)
             .collect();
