--- a/src/core/ticket/ticket_office.rs
+++ b/src/core/ticket/ticket_office.rs
@@ -24,7 +24,7 @@
 
 impl TicketOffice {
     /// Stores a grant, which replaces the home's earlier one.
-    pub(crate) fn receive(&mut self, now: Instant, grant: TicketGrant) {
+    pub(crate) fn store_grant(&mut self, now: Instant, grant: TicketGrant) {
         let block = Block {
             received_at: now,
             next: 0,
@@ -34,7 +34,7 @@
     }
 
     /// Drops the grant of a home that is leaving or unavailable.
-    pub(crate) fn forget(&mut self, home: AgentId) {
+    pub(crate) fn remove_grant(&mut self, home: AgentId) {
         self.blocks.remove(&home);
     }
 
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -154,8 +154,8 @@
         let now = self.timer.now();
         let mut inner = self.lock();
         match announcement.grant.take() {
-            Some(grant) => inner.tickets.receive(now, grant),
-            None => inner.tickets.forget(announcement.agent),
+            Some(grant) => inner.tickets.store_grant(now, grant),
+            None => inner.tickets.remove_grant(announcement.agent),
         }
         let successors = inner.successors_of(now, &announcement);
         let (config_version, zone_open) = inner.verdict_on(&announcement);
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -178,7 +178,7 @@
             .add_announced(now, digest.from, self.outage_limit_ms);
         for report in digest.reports {
             if report.announcement.leaving {
-                inner.tickets.forget(report.announcement.agent);
+                inner.tickets.remove_grant(report.announcement.agent);
             }
             inner.directory.record_report(now, from, report);
         }
