--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -126,12 +126,12 @@
             return;
         };
         self.document.lose_peer(link);
-        let over_after_ms = self.settings.limits.over_after_ms();
+        let runs_stopped_after_ms = self.settings.limits.runs_stopped_after_ms();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         worker.link = None;
-        let runs_finished_at = worker.stamp_received_at.plus_ms(over_after_ms);
+        let runs_finished_at = worker.stamp_received_at.plus_ms(runs_stopped_after_ms);
         let event = DispatchLogEvent::AgentLost {
             agent: worker.agent.clone(),
             cause,
@@ -151,12 +151,13 @@
             let Some(worker) = self.workers.get(key) else {
                 continue;
             };
-            let is_unresponsive = now.millis_since(worker.last_heard_at) >= limits.silence_ms;
+            let is_unresponsive =
+                now.millis_since(worker.last_heard_at) >= limits.liveness_timeout_ms;
             let runs_finished =
-                now.millis_since(worker.stamp_received_at) >= limits.over_after_ms();
+                now.millis_since(worker.stamp_received_at) >= limits.runs_stopped_after_ms();
             let heartbeat_due = worker
                 .heartbeat_sent_at
-                .is_none_or(|sent_at| now.millis_since(sent_at) >= limits.beat_ms());
+                .is_none_or(|sent_at| now.millis_since(sent_at) >= limits.heartbeat_interval_ms());
             match worker.link {
                 Some(link) if is_unresponsive => {
                     self.actions.push(DispatchAction::Close { link });
--- a/src/core/dispatch/tests/mod.rs
+++ b/src/core/dispatch/tests/mod.rs
@@ -64,7 +64,7 @@
         after: Vec::new(),
         required_label: None,
         data_rack: None,
-        most_per_worker: 0,
+        max_per_worker: 0,
     }
 }
 
@@ -322,8 +322,8 @@
     dispatcher.send_event(DispatchEvent::LinkLost {
         link: LinkId(disconnected),
     });
-    let over_after_ms = RunLimits::for_resend(1_300, 50).over_after_ms();
-    dispatcher.advance_ms(over_after_ms - 20);
+    let runs_stopped_after_ms = RunLimits::for_resend(1_300, 50).runs_stopped_after_ms();
+    dispatcher.advance_ms(runs_stopped_after_ms - 20);
     assert!(dispatcher.starts().is_empty());
     dispatcher.advance_ms(40);
     assert_eq!(dispatcher.starts().len(), 1);
--- a/src/core/execution/lease.rs
+++ b/src/core/execution/lease.rs
@@ -44,7 +44,7 @@
         let worker = self.worker.as_mut()?;
         let ClockReading { clock_ms, at } = worker.clock?;
         let until_ms = clock_ms + now.millis_since(at) + limits.lease_ms;
-        let expires_at = now.plus_ms(limits.lapse_ms() + clock_drift_ms(now.millis_since(at)));
+        let expires_at = now.plus_ms(limits.max_lease_ms() + clock_drift_ms(now.millis_since(at)));
         worker.lease_expires_at = worker.lease_expires_at.max(expires_at);
         Some(until_ms)
     }
