--- a/src/agent/agent_handle.rs
+++ b/src/agent/agent_handle.rs
@@ -63,7 +63,7 @@
     pub(crate) fn remove_backend(&self) {
         if self.lock_backend_announced_at().take().is_some() {
             log::info!("backend server removed");
-            self.notify_runner(RunnerEvent::BackendGone);
+            self.notify_runner(RunnerEvent::BackendUnavailable);
             self.announce_now.notify_one();
         }
     }
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -112,7 +112,7 @@
     homes.set_local(id, home_inputs.clone());
     let (runner_inputs, runner_received) = mpsc::unbounded_channel();
     let runner_settings = RunnerSettings {
-        keep_outcome_ms: OUTCOME_RETENTION_MS,
+        outcome_retention_ms: OUTCOME_RETENTION_MS,
     };
     let runner = RunnerLoop {
         runner: Runner::new(id, runner_settings),
--- a/src/core/home/tests/simulation.rs
+++ b/src/core/home/tests/simulation.rs
@@ -99,7 +99,7 @@
         self.next_id += 1;
         let id = AgentId(self.next_id);
         let settings = RunnerSettings {
-            keep_outcome_ms: OUTCOME_RETENTION_MS,
+            outcome_retention_ms: OUTCOME_RETENTION_MS,
         };
         let mut runner = Runner::new(id, settings);
         let services = vec![SERVICE.to_owned()];
--- a/src/core/tests/seeds.rs
+++ b/src/core/tests/seeds.rs
@@ -79,7 +79,7 @@
 fn double_run_is_detected_if_entry_does_not_wait_for_the_lease() {
     let unsafe_setup = Setup {
         entry_limits: RunLimits {
-            silence_ms: 60,
+            liveness_timeout_ms: 60,
             lease_ms: 0,
             stop_ms: 0,
             ..Setup::production().entry_limits
@@ -96,7 +96,7 @@
     let production = Setup::production();
     let unsafe_setup = Setup {
         agent_limits: RunLimits {
-            silence_ms: 30_000,
+            liveness_timeout_ms: 30_000,
             ..production.agent_limits
         },
         ..production
