--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -38,7 +38,7 @@
 /// Period after a hand-over in which requests are still forwarded to the successor.
 const FORWARDING_GRACE_MS: u64 = 1_500;
 /// Maximum wait of an idle, stopping runner for homes to acknowledge outcomes.
-const FETCH_TIMEOUT_MS: u64 = 3_000;
+const ACKNOWLEDGEMENT_TIMEOUT_MS: u64 = 3_000;
 
 /// Runs an agent until SIGTERM or SIGINT, then drains it.
 pub(crate) async fn run_agent(settings: AgentSettings) -> Result<(), RunError> {
@@ -157,8 +157,9 @@
         let waited_ms = now.millis_since(started_at);
         if remaining.is_idle() {
             let idle_ms = now.millis_since(*idle_since.get_or_insert(now));
-            let fetched = remaining.unfetched == 0 || idle_ms >= FETCH_TIMEOUT_MS;
-            if fetched && now.millis_since(moved_at) >= FORWARDING_GRACE_MS {
+            let acknowledged =
+                remaining.unacknowledged == 0 || idle_ms >= ACKNOWLEDGEMENT_TIMEOUT_MS;
+            if acknowledged && now.millis_since(moved_at) >= FORWARDING_GRACE_MS {
                 log::info!(waited_ms; "all running work finished");
                 return;
             }
@@ -175,7 +176,7 @@
 struct RemainingWork {
     running: u16,
     jobs: usize,
-    unfetched: usize,
+    unacknowledged: usize,
 }
 
 impl RemainingWork {
@@ -188,7 +189,7 @@
     let snapshot = agent.snapshot().await;
     RemainingWork {
         running: snapshot.as_ref().map_or(0, |snapshot| snapshot.running),
-        unfetched: snapshot.map_or(0, |snapshot| snapshot.unfetched),
+        unacknowledged: snapshot.map_or(0, |snapshot| snapshot.unacknowledged),
         jobs: agent.running_job_count().await,
     }
 }
--- a/src/agent/runner_loop.rs
+++ b/src/agent/runner_loop.rs
@@ -24,7 +24,7 @@
     pub(crate) free_slots: u16,
     pub(crate) running: u16,
     /// Outcomes that their homes have not acknowledged.
-    pub(crate) unfetched: usize,
+    pub(crate) unacknowledged: usize,
     pub(crate) leaving: bool,
     pub(crate) config_version: u64,
 }
@@ -89,7 +89,7 @@
             slots: self.runner.slots(),
             free_slots: self.runner.free_slots(),
             running: self.runner.running_count(),
-            unfetched: self.runner.unacknowledged_count(),
+            unacknowledged: self.runner.unacknowledged_count(),
             leaving: self.runner.is_leaving(),
             config_version: self.runner.config_version(),
         }
