--- a/src/agent/announcer.rs
+++ b/src/agent/announcer.rs
@@ -85,16 +85,16 @@
 
     /// Announces to one entry; to the next one if it doesn't answer or grants no permit.
     async fn announce(&mut self) -> Option<()> {
-        let entries = self.entries.next_round(self.timer.now());
+        let entries = self.entries.next_attempt_order(self.timer.now());
         for entry in entries.into_iter().take(TRIES) {
             let snapshot = self.agent.snapshot().await?;
             let outcome = self.announce_to(entry, snapshot).await;
             self.metrics.count(Counter::Announcements, outcome.as_str());
             if outcome == Outcome::Answered {
-                self.entries.trust(entry);
+                self.entries.clear_suspect(entry);
                 break;
             }
-            self.entries.suspect(self.timer.now(), entry);
+            self.entries.mark_suspect(self.timer.now(), entry);
         }
         Some(())
     }
--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct SectionState<M> {
     /// What the section says; compared to find changes.
-    pub(crate) meaning: M,
+    pub(crate) value: M,
     /// The section's text with its comments.
     pub(crate) text: String,
 }
@@ -36,7 +36,7 @@
 
 /// Why a change can't be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum ChangeRefusal {
+pub(crate) enum ChangeRejection {
     /// The operator may not change this section.
     Forbidden(&'static str),
     /// Others changed these sections since, to something else.
@@ -49,7 +49,7 @@
     /// The versions that the operator's document was made from.
     pub(crate) based_on: &'a BasedOn,
     /// The operator's document.
-    pub(crate) mine: &'a Sections<M>,
+    pub(crate) proposed: &'a Sections<M>,
     /// The document in force.
     pub(crate) current: &'a Sections<M>,
     /// The head in force.
@@ -58,9 +58,9 @@
     pub(crate) owned: &'a [String],
 }
 
-enum Fate {
+enum Resolution {
     Keep,
-    Take,
+    Apply,
     Forbidden,
     Conflict,
 }
@@ -71,49 +71,49 @@
     pub(crate) fn bases_needed(&self) -> Vec<(&'static str, u64)> {
         SECTIONS
             .into_iter()
-            .filter(|section| self.changed_since(section) && !self.agrees(section))
+            .filter(|section| self.changed_since(section) && !self.matches_current(section))
             .map(|section| (section, self.based_on(section)))
             .collect()
     }
 
     /// The sections to take from the operator's document; all others stay as they are in force.
-    pub(crate) fn plan(&self, bases: &Sections<M>) -> Result<Vec<&'static str>, ChangeRefusal> {
-        let mut taken = Vec::new();
+    pub(crate) fn plan(&self, bases: &Sections<M>) -> Result<Vec<&'static str>, ChangeRejection> {
+        let mut applied = Vec::new();
         let mut conflicts = Vec::new();
         for section in SECTIONS {
-            match self.fate(section, bases) {
-                Fate::Keep => {}
-                Fate::Take => taken.push(section),
-                Fate::Forbidden => return Err(ChangeRefusal::Forbidden(section)),
-                Fate::Conflict => conflicts.extend(self.conflict(section)),
+            match self.resolve(section, bases) {
+                Resolution::Keep => {}
+                Resolution::Apply => applied.push(section),
+                Resolution::Forbidden => return Err(ChangeRejection::Forbidden(section)),
+                Resolution::Conflict => conflicts.extend(self.conflict(section)),
             }
         }
         if conflicts.is_empty() {
-            return Ok(taken);
+            return Ok(applied);
         }
-        Err(ChangeRefusal::Conflict(conflicts))
+        Err(ChangeRejection::Conflict(conflicts))
     }
 
-    fn fate(&self, section: &'static str, bases: &Sections<M>) -> Fate {
+    fn resolve(&self, section: &'static str, bases: &Sections<M>) -> Resolution {
         let changed_since = self.changed_since(section);
         let owned = self.owned.iter().any(|own| own == section);
-        if self.agrees(section) {
+        if self.matches_current(section) {
             // Only comments can differ; who doesn't own the section leaves them alone.
-            let comments = text(self.mine, section) != text(self.current, section);
+            let comments = text(self.proposed, section) != text(self.current, section);
             return if comments && owned && !changed_since {
-                Fate::Take
+                Resolution::Apply
             } else {
-                Fate::Keep
+                Resolution::Keep
             };
         }
-        if changed_since && same_meaning(self.mine, bases, section) {
+        if changed_since && same_value(self.proposed, bases, section) {
             // Someone else changed it, this operator did not.
-            return Fate::Keep;
+            return Resolution::Keep;
         }
         match (owned, changed_since) {
-            (false, _) => Fate::Forbidden,
-            (true, true) => Fate::Conflict,
-            (true, false) => Fate::Take,
+            (false, _) => Resolution::Forbidden,
+            (true, true) => Resolution::Conflict,
+            (true, false) => Resolution::Apply,
         }
     }
 
@@ -134,16 +134,16 @@
         self.head.section_version(section) > self.based_on(section)
     }
 
-    fn agrees(&self, section: &str) -> bool {
-        same_meaning(self.mine, self.current, section)
+    fn matches_current(&self, section: &str) -> bool {
+        same_value(self.proposed, self.current, section)
     }
 }
 
-fn same_meaning<M: Default + PartialEq>(a: &Sections<M>, b: &Sections<M>, section: &str) -> bool {
+fn same_value<M: Default + PartialEq>(a: &Sections<M>, b: &Sections<M>, section: &str) -> bool {
     let empty = M::default();
-    let meaning_of_a = a.get(section).map_or(&empty, |state| &state.meaning);
-    let meaning_of_b = b.get(section).map_or(&empty, |state| &state.meaning);
-    meaning_of_a == meaning_of_b
+    let a_value = a.get(section).map_or(&empty, |state| &state.value);
+    let b_value = b.get(section).map_or(&empty, |state| &state.value);
+    a_value == b_value
 }
 
 fn text<'a, M>(sections: &'a Sections<M>, section: &str) -> &'a str {
--- a/src/core/config/difference.rs
+++ b/src/core/config/difference.rs
@@ -18,7 +18,7 @@
 }
 
 /// A named thing of the document.
-trait Described {
+trait DocumentItem {
     /// The section that holds things of this kind.
     const SECTION: &'static str;
     /// What operators call it.
@@ -42,7 +42,7 @@
     }
 }
 
-fn compare<T: Described>(
+fn compare<T: DocumentItem>(
     before: &BTreeMap<String, T>,
     after: &BTreeMap<String, T>,
 ) -> Vec<Difference> {
@@ -52,7 +52,7 @@
     names
         .into_iter()
         .filter_map(|name| {
-            let words = in_words(name, before.get(name), after.get(name))?;
+            let words = describe(name, before.get(name), after.get(name))?;
             Some(Difference {
                 section: T::SECTION,
                 name: name.clone(),
@@ -62,7 +62,7 @@
         .collect()
 }
 
-fn in_words<T: Described>(name: &str, before: Option<&T>, after: Option<&T>) -> Option<String> {
+fn describe<T: DocumentItem>(name: &str, before: Option<&T>, after: Option<&T>) -> Option<String> {
     let kind = T::KIND;
     match (before, after) {
         (None, None) => None,
@@ -75,7 +75,7 @@
     }
 }
 
-fn changed_fields<T: Described>(before: &T, after: &T) -> Vec<String> {
+fn changed_fields<T: DocumentItem>(before: &T, after: &T) -> Vec<String> {
     before
         .fields()
         .into_iter()
@@ -90,7 +90,7 @@
         .collect()
 }
 
-impl Described for Worker {
+impl DocumentItem for Worker {
     const SECTION: &'static str = "capacity";
     const KIND: &'static str = "worker";
 
@@ -125,7 +125,7 @@
     }
 }
 
-impl Described for Service {
+impl DocumentItem for Service {
     const SECTION: &'static str = "services";
     const KIND: &'static str = "service";
 
@@ -160,7 +160,7 @@
     }
 }
 
-impl Described for Zone {
+impl DocumentItem for Zone {
     const SECTION: &'static str = "zones";
     const KIND: &'static str = "availability zone";
 
@@ -186,7 +186,7 @@
     }
 }
 
-impl Described for Quota {
+impl DocumentItem for Quota {
     const SECTION: &'static str = "quotas";
     const KIND: &'static str = "quota of team";
 
--- a/src/core/config/document.rs
+++ b/src/core/config/document.rs
@@ -111,15 +111,15 @@
     }
 
     /// This document with one section alone.
-    pub(crate) fn only(&self, section: &str) -> Self {
-        let mut only = Self::default();
+    pub(crate) fn only_section(&self, section: &str) -> Self {
+        let mut document = Self::default();
         match section {
-            "capacity" => only.workers = self.workers.clone(),
-            "services" => only.services = self.services.clone(),
-            "zones" => only.zones = self.zones.clone(),
-            "quotas" => only.quotas = self.quotas.clone(),
+            "capacity" => document.workers = self.workers.clone(),
+            "services" => document.services = self.services.clone(),
+            "zones" => document.zones = self.zones.clone(),
+            "quotas" => document.quotas = self.quotas.clone(),
             _ => {}
         }
-        only
+        document
     }
 }
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -9,7 +9,7 @@
 mod tests;
 
 pub(crate) use {
-    change::{BasedOn, ChangeInput, ChangeRefusal, SectionConflict, SectionState, Sections},
+    change::{BasedOn, ChangeInput, ChangeRejection, SectionConflict, SectionState, Sections},
     difference::Difference,
     document::{Document, Quota, SECTIONS, Service, Worker, Zone, ZoneState},
     head::{Head, SectionHead},
--- a/src/core/config/tests.rs
+++ b/src/core/config/tests.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        BasedOn, ChangeInput, ChangeRefusal, Document, Head, SECTIONS, SectionHead, SectionState,
+        BasedOn, ChangeInput, ChangeRejection, Document, Head, SECTIONS, SectionHead, SectionState,
         Sections, Zone, ZoneState,
     },
     proptest::{
@@ -21,7 +21,7 @@
 
 /// A change as a generated operator asks for it.
 #[derive(Debug, Clone)]
-struct Wish {
+struct GeneratedChange {
     /// Which of the earlier versions it is based on, as a share of their number.
     base_percent: usize,
     /// What each section is set to; `None` leaves it as it was at the base.
@@ -39,7 +39,7 @@
     changed: [bool; 4],
 }
 
-fn wish() -> impl Strategy<Value = Wish> {
+fn generated_change() -> impl Strategy<Value = GeneratedChange> {
     let value = prop::option::weighted(0.4, 0_u8..4);
     (
         0..=100_usize,
@@ -47,7 +47,7 @@
         [prop::bool::weighted(0.2); 4],
         [prop::bool::weighted(0.8); 4],
     )
-        .prop_map(|(base_percent, values, comments, owned)| Wish {
+        .prop_map(|(base_percent, values, comments, owned)| GeneratedChange {
             base_percent,
             values,
             comments,
@@ -57,15 +57,15 @@
 
 fn sections(version: &Version) -> Sections<u8> {
     let states = (0..4).map(|index| SectionState {
-        meaning: version.values[index],
+        value: version.values[index],
         text: format!("{} # {}", version.values[index], version.comments[index]),
     });
     SECTIONS.into_iter().zip(states).collect()
 }
 
-fn head(log: &[Version]) -> Head {
+fn head(history: &[Version]) -> Head {
     let mut head = Head::default();
-    for (version, entry) in log.iter().enumerate() {
+    for (version, entry) in history.iter().enumerate() {
         let changed: Vec<&'static str> = (0..4)
             .filter(|index| entry.changed[*index])
             .map(|index| SECTIONS[index])
@@ -81,42 +81,42 @@
 }
 
 /// The rules, said plainly: walks the whole history for each section.
-fn naive(
-    log: &[Version],
+fn expected_plan(
+    history: &[Version],
     base: usize,
-    mine: &Version,
+    proposed: &Version,
     owned: [bool; 4],
 ) -> Result<[bool; 4], String> {
-    let current = log.last().expect("a version");
-    let mut taken = [false; 4];
+    let current = history.last().expect("a version");
+    let mut applied = [false; 4];
     let mut conflicts = Vec::new();
     for index in 0..4 {
-        let since = log[base + 1..].iter().any(|entry| entry.changed[index]);
-        let i_changed = mine.values[index] != log[base].values[index];
-        let as_now = mine.values[index] == current.values[index];
-        let other_comment = mine.comments[index] != current.comments[index];
-        if as_now {
-            taken[index] = !since && owned[index] && other_comment;
-        } else if since && !i_changed {
+        let changed_since = history[base + 1..].iter().any(|entry| entry.changed[index]);
+        let proposal_changed = proposed.values[index] != history[base].values[index];
+        let same_as_current = proposed.values[index] == current.values[index];
+        let comment_differs = proposed.comments[index] != current.comments[index];
+        if same_as_current {
+            applied[index] = !changed_since && owned[index] && comment_differs;
+        } else if changed_since && !proposal_changed {
             // Theirs stays.
         } else if !owned[index] {
             return Err(format!("forbidden {}", SECTIONS[index]));
-        } else if since {
+        } else if changed_since {
             conflicts.push(SECTIONS[index]);
         } else {
-            taken[index] = true;
+            applied[index] = true;
         }
     }
     if conflicts.is_empty() {
-        return Ok(taken);
+        return Ok(applied);
     }
     Err(format!("conflict {}", conflicts.join(" ")))
 }
 
-fn planned(
-    log: &[Version],
+fn actual_plan(
+    history: &[Version],
     base: usize,
-    mine: &Version,
+    proposed: &Version,
     owned: [bool; 4],
 ) -> Result<[bool; 4], String> {
     let based_on: BasedOn = SECTIONS.map(|section| (section, base as u64)).into();
@@ -124,22 +124,25 @@
         .filter(|index| owned[*index])
         .map(|index| SECTIONS[index].to_owned())
         .collect();
-    let (mine, current) = (sections(mine), sections(log.last().expect("a version")));
-    let head = head(log);
+    let (proposed, current) = (
+        sections(proposed),
+        sections(history.last().expect("a version")),
+    );
+    let head = head(history);
     let input = ChangeInput {
         based_on: &based_on,
-        mine: &mine,
+        proposed: &proposed,
         current: &current,
         head: &head,
         owned: &owned,
     };
-    let mut bases = sections(&log[base]);
+    let mut bases = sections(&history[base]);
     let needed = input.bases_needed();
     bases.retain(|section, _| needed.contains(&(*section, base as u64)));
     match input.plan(&bases) {
-        Ok(taken) => Ok(SECTIONS.map(|section| taken.contains(&section))),
-        Err(ChangeRefusal::Forbidden(section)) => Err(format!("forbidden {section}")),
-        Err(ChangeRefusal::Conflict(conflicts)) => {
+        Ok(applied) => Ok(SECTIONS.map(|section| applied.contains(&section))),
+        Err(ChangeRejection::Forbidden(section)) => Err(format!("forbidden {section}")),
+        Err(ChangeRejection::Conflict(conflicts)) => {
             for conflict in &conflicts {
                 assert!(conflict.changed.version > conflict.based_on);
                 assert_eq!(
@@ -156,33 +159,36 @@
 /// Operators change sections from old and new versions, in any order. What the plan decides is
 /// what the naive rules decide; a change that lands alters its own sections and no other.
 #[test]
-fn the_plan_agrees_with_the_naive_rules() {
+fn the_plan_matches_the_reference_rules() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(config(2_000), rng);
-    let wishes = prop::collection::vec(wish(), 1..25);
+    let changes = prop::collection::vec(generated_change(), 1..25);
     runner
-        .run(&wishes, |wishes| {
-            let mut log = vec![Version::default()];
-            for (number, wish) in wishes.into_iter().enumerate() {
-                let base = (log.len() - 1) * wish.base_percent / 100;
-                let mut mine = log[base].clone();
+        .run(&changes, |changes| {
+            let mut history = vec![Version::default()];
+            for (number, change) in changes.into_iter().enumerate() {
+                let base = (history.len() - 1) * change.base_percent / 100;
+                let mut proposed = history[base].clone();
                 for index in 0..4 {
-                    mine.values[index] = wish.values[index].unwrap_or(mine.values[index]);
-                    if wish.comments[index] {
-                        mine.comments[index] = number + 1;
+                    proposed.values[index] = change.values[index].unwrap_or(proposed.values[index]);
+                    if change.comments[index] {
+                        proposed.comments[index] = number + 1;
                     }
                 }
-                let wanted = naive(&log, base, &mine, wish.owned);
-                prop_assert_eq!(&planned(&log, base, &mine, wish.owned), &wanted);
-                let Ok(taken) = wanted else { continue };
-                let mut next = log.last().expect("a version").clone();
-                next.changed = taken;
-                for index in (0..4).filter(|index| taken[*index]) {
-                    next.values[index] = mine.values[index];
-                    next.comments[index] = mine.comments[index];
+                let expected = expected_plan(&history, base, &proposed, change.owned);
+                prop_assert_eq!(
+                    &actual_plan(&history, base, &proposed, change.owned),
+                    &expected
+                );
+                let Ok(applied) = expected else { continue };
+                let mut next = history.last().expect("a version").clone();
+                next.changed = applied;
+                for index in (0..4).filter(|index| applied[*index]) {
+                    next.values[index] = proposed.values[index];
+                    next.comments[index] = proposed.comments[index];
                 }
-                if taken.contains(&true) {
-                    log.push(next);
+                if applied.contains(&true) {
+                    history.push(next);
                 }
             }
             Ok(())
@@ -191,7 +197,7 @@
 }
 
 #[test]
-fn differences_are_told_in_an_operators_words() {
+fn differences_are_described_for_operators() {
     let zone = |state| Zone {
         region: "southwest".to_owned(),
         state,
--- a/src/core/directory/digest_log.rs
+++ b/src/core/directory/digest_log.rs
@@ -12,22 +12,22 @@
 
 /// What one other entry has confirmed.
 #[derive(Debug, Default)]
-struct PeerLog {
+struct PeerDigestState {
     /// Agents heard up to here have been told.
-    told_through: Option<Instant>,
+    confirmed_through: Option<Instant>,
     /// The newest statement of each agent that it has.
-    statements: BTreeMap<AgentId, u64>,
+    content_versions: BTreeMap<AgentId, u64>,
 }
 
 /// The part of a digest that is about agents.
 #[derive(Debug, Default)]
 pub(crate) struct AgentDigest {
     pub(crate) reports: Vec<AgentReport>,
-    pub(crate) beats: Vec<AgentHeartbeat>,
+    pub(crate) heartbeats: Vec<AgentHeartbeat>,
     /// The statements that the receiver has once it confirms.
-    statements: Vec<(AgentId, u64)>,
+    content_versions: Vec<(AgentId, u64)>,
     /// Up to when agents were looked at.
-    through: Instant,
+    as_of: Instant,
 }
 
 /// Says each agent's whole announcement once to each entry, and after that only that it was heard.
@@ -38,7 +38,7 @@
 pub(crate) struct DigestLog {
     next_index: u32,
     indices: BTreeMap<AgentId, u32>,
-    peers: BTreeMap<AgentId, PeerLog>,
+    peers: BTreeMap<AgentId, PeerDigestState>,
 }
 
 impl DigestLog {
@@ -49,27 +49,27 @@
         peer: AgentId,
         directory: &Directory,
     ) -> AgentDigest {
-        let log = self.peers.entry(peer).or_default();
-        let mut telling = AgentDigest {
-            through: now,
+        let state = self.peers.entry(peer).or_default();
+        let mut digest = AgentDigest {
+            as_of: now,
             ..AgentDigest::default()
         };
-        for view in directory.announced_here(now, log.told_through) {
+        for view in directory.announced_here(now, state.confirmed_through) {
             let agent = view.announcement.agent;
             let index = *self.indices.entry(agent).or_insert_with(|| {
                 self.next_index = self.next_index.wrapping_add(1);
                 self.next_index
             });
-            if log.statements.get(&agent) == Some(&view.statement) {
-                telling.beats.push(AgentHeartbeat {
+            if state.content_versions.get(&agent) == Some(&view.content_version) {
+                digest.heartbeats.push(AgentHeartbeat {
                     index,
                     free_slots: view.announcement.free_slots,
                     fingerprint: view.fingerprint,
                 });
                 continue;
             }
-            telling.statements.push((agent, view.statement));
-            telling.reports.push(AgentReport {
+            digest.content_versions.push((agent, view.content_version));
+            digest.reports.push(AgentReport {
                 index,
                 announcement: Announcement {
                     grant: None,
@@ -77,19 +77,21 @@
                 },
             });
         }
-        telling
+        digest
     }
 
     /// The entry has what it was told, but for agents whose numbers it doesn't know.
-    pub(crate) fn confirm(&mut self, peer: AgentId, telling: &AgentDigest, unknown: &[u32]) {
-        let log = self.peers.entry(peer).or_default();
-        log.told_through = log.told_through.max(Some(telling.through));
-        log.statements.extend(telling.statements.iter().copied());
+    pub(crate) fn confirm(&mut self, peer: AgentId, digest: &AgentDigest, unknown: &[u32]) {
+        let state = self.peers.entry(peer).or_default();
+        state.confirmed_through = state.confirmed_through.max(Some(digest.as_of));
+        state
+            .content_versions
+            .extend(digest.content_versions.iter().copied());
         if unknown.is_empty() {
             return;
         }
         let indices = &self.indices;
-        log.statements.retain(|agent, _| {
+        state.content_versions.retain(|agent, _| {
             indices
                 .get(agent)
                 .is_some_and(|index| !unknown.contains(index))
@@ -98,11 +100,11 @@
 
     /// Drops what is about agents that are no longer listed and entries that are gone.
     pub(crate) fn expire(&mut self, directory: &Directory, is_member: impl Fn(AgentId) -> bool) {
-        let is_listed = |agent: &AgentId| directory.contains(*agent);
-        self.indices.retain(|agent, _| is_listed(agent));
+        let is_known = |agent: &AgentId| directory.contains(*agent);
+        self.indices.retain(|agent, _| is_known(agent));
         self.peers.retain(|peer, _| is_member(*peer));
-        for log in self.peers.values_mut() {
-            log.statements.retain(|agent, _| is_listed(agent));
+        for state in self.peers.values_mut() {
+            state.content_versions.retain(|agent, _| is_known(agent));
         }
     }
 }
--- a/src/core/directory/directory.rs
+++ b/src/core/directory/directory.rs
@@ -11,11 +11,11 @@
 };
 
 /// Silence after which an agent gets no new work, in milliseconds.
-pub(crate) const ALIVE_MS: u64 = 3_000;
+pub(crate) const LIVENESS_TIMEOUT_MS: u64 = 3_000;
 /// Silence after which an agent is dropped from the list, in milliseconds.
-const FORGET_AFTER_MS: u64 = 60_000;
+const EXPIRY_MS: u64 = 60_000;
 /// For how long an agent's last announcements may be under way after it is gone, in milliseconds.
-const LATE_MS: u64 = 5_000;
+const MAX_ANNOUNCEMENT_DELAY_MS: u64 = 5_000;
 
 /// An agent as last announced.
 #[derive(Debug, Clone)]
@@ -23,11 +23,11 @@
     /// What it said.
     pub(crate) announcement: Announcement,
     /// When it said so, here or to an entry that passed it on.
-    pub(crate) heard_at: Instant,
+    pub(crate) last_heard_at: Instant,
     /// When it last said so here.
-    pub(crate) direct_at: Option<Instant>,
+    pub(crate) last_direct_at: Option<Instant>,
     /// Grows when it says something other than its load.
-    pub(crate) statement: u64,
+    pub(crate) content_version: u64,
     /// Fingerprint of the announcement.
     pub(crate) fingerprint: u8,
     /// When a call to it last failed.
@@ -36,11 +36,11 @@
 
 impl AgentView {
     /// Whether it was heard lately, and since the last call to it failed.
-    fn is_there(&self, now: Instant) -> bool {
-        now.millis_since(self.heard_at) < ALIVE_MS
+    fn is_alive(&self, now: Instant) -> bool {
+        now.millis_since(self.last_heard_at) < LIVENESS_TIMEOUT_MS
             && self
                 .failed_at
-                .is_none_or(|failed_at| failed_at < self.heard_at)
+                .is_none_or(|failed_at| failed_at < self.last_heard_at)
     }
 }
 
@@ -70,14 +70,14 @@
 impl Directory {
     /// Takes an agent's own announcement in; true if it says something new.
     pub(crate) fn record_announcement(&mut self, now: Instant, announcement: Announcement) -> bool {
-        self.take(now, announcement, true)
+        self.apply_announcement(now, announcement, true)
     }
 
     /// Takes in what another entry heard.
     pub(crate) fn record_report(&mut self, now: Instant, from: AgentId, report: AgentReport) {
         let agent = report.announcement.agent;
         self.reported.insert((from, report.index), agent);
-        self.take(now, report.announcement, false);
+        self.apply_announcement(now, report.announcement, false);
     }
 
     /// Takes in that another entry heard an agent; false if a report is needed, as it isn't known
@@ -86,9 +86,9 @@
         &mut self,
         now: Instant,
         from: AgentId,
-        beat: AgentHeartbeat,
+        heartbeat: AgentHeartbeat,
     ) -> bool {
-        let Some(agent) = self.reported.get(&(from, beat.index)) else {
+        let Some(agent) = self.reported.get(&(from, heartbeat.index)) else {
             return false;
         };
         if self.replaced.contains_key(agent) {
@@ -97,14 +97,19 @@
         let Some(view) = self.agents.get_mut(agent) else {
             return false;
         };
-        view.heard_at = now;
-        view.announcement.free_slots = beat.free_slots;
-        view.fingerprint == beat.fingerprint
+        view.last_heard_at = now;
+        view.announcement.free_slots = heartbeat.free_slots;
+        view.fingerprint == heartbeat.fingerprint
     }
 
-    fn take(&mut self, now: Instant, announcement: Announcement, direct: bool) -> bool {
+    fn apply_announcement(
+        &mut self,
+        now: Instant,
+        announcement: Announcement,
+        direct: bool,
+    ) -> bool {
         let agent = announcement.agent;
-        if !self.may_be_there(now, &announcement, direct) {
+        if !self.is_plausible(now, &announcement, direct) {
             return false;
         }
         let previous = self
@@ -121,11 +126,11 @@
         }
         let fingerprint = announcement.fingerprint();
         let is_new = known.is_none_or(|view| view.fingerprint != fingerprint);
-        let statement = known.map_or(0, |view| view.statement) + u64::from(is_new);
-        let direct_at = if direct {
+        let content_version = known.map_or(0, |view| view.content_version) + u64::from(is_new);
+        let last_direct_at = if direct {
             Some(now)
         } else {
-            known.and_then(|view| view.direct_at)
+            known.and_then(|view| view.last_direct_at)
         };
         let failed_at = known.and_then(|view| view.failed_at);
         self.adopted.retain(|_, successor| *successor != agent);
@@ -133,9 +138,9 @@
         self.adopted.extend(adopted);
         let view = AgentView {
             announcement,
-            heard_at: now,
-            direct_at,
-            statement,
+            last_heard_at: now,
+            last_direct_at,
+            content_version,
             fingerprint,
             failed_at,
         };
@@ -148,30 +153,30 @@
     /// Guards against the last announcements of a dead agent, which arrive late, directly or by
     /// way of another entry: its successor must not count as replaced. An agent that goes on
     /// announcing itself for longer than its last words can be under way is there after all.
-    fn may_be_there(&mut self, now: Instant, announcement: &Announcement, direct: bool) -> bool {
+    fn is_plausible(&mut self, now: Instant, announcement: &Announcement, direct: bool) -> bool {
         let agent = announcement.agent;
         let holder = self
             .by_worker
             .get(&announcement.worker)
             .filter(|holder| **holder != agent)
             .and_then(|holder| self.agents.get(holder));
-        let holder_is_here = holder
-            .and_then(|holder| holder.direct_at)
-            .is_some_and(|at| now.millis_since(at) < ALIVE_MS);
+        let holder_is_alive = holder
+            .and_then(|holder| holder.last_direct_at)
+            .is_some_and(|at| now.millis_since(at) < LIVENESS_TIMEOUT_MS);
         if let Some(since) = self.replaced.get(&agent) {
-            if holder_is_here || !direct || now.millis_since(*since) < LATE_MS {
+            if holder_is_alive || !direct || now.millis_since(*since) < MAX_ANNOUNCEMENT_DELAY_MS {
                 return false;
             }
             self.replaced.remove(&agent);
         }
-        direct || !holder_is_here
+        direct || !holder_is_alive
     }
 
     /// Forgets agents that have been silent for long.
     pub(crate) fn expire(&mut self, now: Instant) {
         let by_worker = &mut self.by_worker;
         self.agents.retain(|_, view| {
-            let keep = now.millis_since(view.heard_at) < FORGET_AFTER_MS;
+            let keep = now.millis_since(view.last_heard_at) < EXPIRY_MS;
             if !keep {
                 by_worker.remove(&view.announcement.worker);
             }
@@ -181,7 +186,7 @@
         self.adopted
             .retain(|_, successor| agents.contains_key(successor));
         self.replaced
-            .retain(|_, since| now.millis_since(*since) < FORGET_AFTER_MS * 20);
+            .retain(|_, since| now.millis_since(*since) < EXPIRY_MS * 20);
         let agents = &self.agents;
         self.reported.retain(|_, agent| agents.contains_key(agent));
     }
@@ -200,21 +205,21 @@
 
     /// Agents that announced themselves lately.
     pub(crate) fn alive(&self, now: Instant) -> impl Iterator<Item = &AgentView> {
-        self.agents.values().filter(move |view| view.is_there(now))
+        self.agents.values().filter(move |view| view.is_alive(now))
     }
 
     /// A call to an agent failed: it gets no new work until it answers or is heard again.
     ///
     /// Guards against a rack that is lost at once: until its silence was noticed, every second
     /// job would get a home there, and its client would wait for one that is gone.
-    pub(crate) fn call_failed(&mut self, now: Instant, agent: AgentId) {
+    pub(crate) fn record_call_failure(&mut self, now: Instant, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = Some(now);
         }
     }
 
     /// A call to an agent was answered.
-    pub(crate) fn call_answered(&mut self, agent: AgentId) {
+    pub(crate) fn record_call_success(&mut self, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = None;
         }
@@ -227,7 +232,7 @@
         since: Option<Instant>,
     ) -> impl Iterator<Item = &AgentView> {
         self.alive(now).filter(move |view| {
-            view.direct_at
+            view.last_direct_at
                 .is_some_and(|at| since.is_none_or(|since| at > since))
         })
     }
@@ -238,15 +243,15 @@
     }
 
     /// All agents that are still listed.
-    pub(crate) fn listed(&self) -> impl Iterator<Item = &AgentView> {
+    pub(crate) fn agents(&self) -> impl Iterator<Item = &AgentView> {
         self.agents.values()
     }
 
     /// Whether an agent may be handed new jobs or tasks.
-    pub(crate) fn takes_work(&self, now: Instant, agent: AgentId) -> bool {
+    pub(crate) fn accepts_work(&self, now: Instant, agent: AgentId) -> bool {
         self.agents
             .get(&agent)
-            .is_some_and(|view| !view.announcement.leaving && view.is_there(now))
+            .is_some_and(|view| !view.announcement.leaving && view.is_alive(now))
     }
 
     /// Whether the configuration lets tasks start at an agent.
--- a/src/core/directory/tests.rs
+++ b/src/core/directory/tests.rs
@@ -31,7 +31,7 @@
 /// of the dead one arrives. A client would see its ticket's home come back from the dead and
 /// wait for it. The cause is that announcements may cross; the replaced agent must stay replaced.
 #[test]
-fn a_replaced_agent_stays_replaced_when_its_last_announcement_is_late() {
+fn a_late_announcement_does_not_revive_a_replaced_agent() {
     let mut directory = Directory::default();
     directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
     directory.record_announcement(Instant::from_millis(10), announcement(2, "w01"));
@@ -46,60 +46,66 @@
 /// An agent falls silent, as when its host is lost. Work sent there would wait in vain, so it
 /// gets none after three seconds without an announcement.
 #[test]
-fn a_silent_agent_gets_no_new_work() {
+fn an_unresponsive_agent_gets_no_new_work() {
     let mut directory = Directory::default();
     directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
-    assert!(directory.takes_work(Instant::from_millis(2_999), AgentId(1)));
-    assert!(!directory.takes_work(Instant::from_millis(3_000), AgentId(1)));
+    assert!(directory.accepts_work(Instant::from_millis(2_999), AgentId(1)));
+    assert!(!directory.accepts_work(Instant::from_millis(3_000), AgentId(1)));
 }
 
-const HERE: AgentId = AgentId(100);
-const THERE: AgentId = AgentId(200);
+const LOCAL_ENTRY: AgentId = AgentId(100);
+const REMOTE_ENTRY: AgentId = AgentId(200);
 
 /// Tells another entry's directory what this one heard, and takes its answer in.
 fn exchange(at_ms: u64, log: &mut DigestLog, from: &Directory, to: &mut Directory) -> AgentDigest {
     let now = Instant::from_millis(at_ms);
-    let telling = log.build_digest(now, THERE, from);
-    for report in &telling.reports {
-        to.record_report(now, HERE, report.clone());
+    let digest = log.build_digest(now, REMOTE_ENTRY, from);
+    for report in &digest.reports {
+        to.record_report(now, LOCAL_ENTRY, report.clone());
     }
-    let unknown: Vec<u32> = telling
-        .beats
+    let unknown: Vec<u32> = digest
+        .heartbeats
         .iter()
-        .filter(|beat| !to.record_heartbeat(now, HERE, **beat))
-        .map(|beat| beat.index)
+        .filter(|heartbeat| !to.record_heartbeat(now, LOCAL_ENTRY, **heartbeat))
+        .map(|heartbeat| heartbeat.index)
         .collect();
-    log.confirm(THERE, &telling, &unknown);
-    telling
+    log.confirm(REMOTE_ENTRY, &digest, &unknown);
+    digest
 }
 
 #[test]
-fn an_agent_is_reported_in_full_once_and_then_by_beats() {
-    let (mut here, mut there) = (Directory::default(), Directory::default());
+fn an_agent_is_reported_in_full_once_and_then_by_heartbeats() {
+    let (mut local, mut remote) = (Directory::default(), Directory::default());
     let mut log = DigestLog::default();
-    here.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
-    let first = exchange(10, &mut log, &here, &mut there);
-    assert_eq!((first.reports.len(), first.beats.len()), (1, 0));
-    let nothing = exchange(500, &mut log, &here, &mut there);
-    assert_eq!((nothing.reports.len(), nothing.beats.len()), (0, 0));
-    here.record_announcement(Instant::from_millis(1_000), announcement(1, "w01"));
-    let beat = exchange(1_010, &mut log, &here, &mut there);
-    assert_eq!((beat.reports.len(), beat.beats.len()), (0, 1));
-    assert!(there.takes_work(Instant::from_millis(4_000), AgentId(1)));
+    local.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
+    let first = exchange(10, &mut log, &local, &mut remote);
+    assert_eq!((first.reports.len(), first.heartbeats.len()), (1, 0));
+    let unchanged = exchange(500, &mut log, &local, &mut remote);
+    assert_eq!(
+        (unchanged.reports.len(), unchanged.heartbeats.len()),
+        (0, 0)
+    );
+    local.record_announcement(Instant::from_millis(1_000), announcement(1, "w01"));
+    let heartbeat = exchange(1_010, &mut log, &local, &mut remote);
+    assert_eq!(
+        (heartbeat.reports.len(), heartbeat.heartbeats.len()),
+        (0, 1)
+    );
+    assert!(remote.accepts_work(Instant::from_millis(4_000), AgentId(1)));
 
     // The other entry restarts and knows nothing: it asks for the report anew.
     let mut restarted = Directory::default();
-    here.record_announcement(Instant::from_millis(2_000), announcement(1, "w01"));
-    exchange(2_010, &mut log, &here, &mut restarted);
-    here.record_announcement(Instant::from_millis(3_000), announcement(1, "w01"));
-    exchange(3_010, &mut log, &here, &mut restarted);
-    assert!(restarted.takes_work(Instant::from_millis(3_020), AgentId(1)));
+    local.record_announcement(Instant::from_millis(2_000), announcement(1, "w01"));
+    exchange(2_010, &mut log, &local, &mut restarted);
+    local.record_announcement(Instant::from_millis(3_000), announcement(1, "w01"));
+    exchange(3_010, &mut log, &local, &mut restarted);
+    assert!(restarted.accepts_work(Instant::from_millis(3_020), AgentId(1)));
 }
 
 /// An agent tells one entry that it leaves; another one passes on what it said before. New work
 /// would go to the leaving one, as its older words arrive last.
 #[test]
-fn older_words_passed_on_later_don_t_undo_a_leaving() {
+fn a_forwarded_older_announcement_does_not_undo_leaving() {
     let mut directory = Directory::default();
     let leaving = Announcement {
         number: 2,
@@ -111,36 +117,36 @@
         index: 1,
         announcement: announcement(1, "w01"),
     };
-    directory.record_report(Instant::from_millis(10), THERE, report);
-    assert!(!directory.takes_work(Instant::from_millis(20), AgentId(1)));
+    directory.record_report(Instant::from_millis(10), REMOTE_ENTRY, report);
+    assert!(!directory.accepts_work(Instant::from_millis(20), AgentId(1)));
 }
 
 /// A worker's new agent announces itself here; another entry still passes on the dead one's last
 /// words. The new one must not count as replaced, or its clients would hear that it is gone.
 #[test]
-fn a_dead_agents_last_words_passed_on_don_t_replace_its_successor() {
+fn a_forwarded_announcement_of_a_dead_agent_does_not_replace_its_successor() {
     let mut directory = Directory::default();
     directory.record_announcement(Instant::from_millis(0), announcement(2, "w01"));
     let report = AgentReport {
         index: 1,
         announcement: announcement(1, "w01"),
     };
-    directory.record_report(Instant::from_millis(10), THERE, report);
-    assert!(directory.takes_work(Instant::from_millis(20), AgentId(2)));
+    directory.record_report(Instant::from_millis(10), REMOTE_ENTRY, report);
+    assert!(directory.accepts_work(Instant::from_millis(20), AgentId(2)));
     assert_eq!(directory.locate(AgentId(1)), HomeLocation::Unknown);
 }
 
 /// A rack is lost. Calls to its agents fail long before their silence counts, and clients would
 /// go on being sent there; what is heard of them afterwards clears the suspicion.
 #[test]
-fn an_agent_that_a_call_failed_to_gets_no_new_work_until_it_is_heard_again() {
+fn an_agent_gets_no_new_work_after_a_failed_call_until_it_is_heard_again() {
     let mut directory = Directory::default();
     directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
-    directory.call_failed(Instant::from_millis(100), AgentId(1));
-    assert!(!directory.takes_work(Instant::from_millis(200), AgentId(1)));
+    directory.record_call_failure(Instant::from_millis(100), AgentId(1));
+    assert!(!directory.accepts_work(Instant::from_millis(200), AgentId(1)));
     directory.record_announcement(Instant::from_millis(1_000), announcement(1, "w01"));
-    assert!(directory.takes_work(Instant::from_millis(1_100), AgentId(1)));
-    directory.call_failed(Instant::from_millis(1_200), AgentId(1));
-    directory.call_answered(AgentId(1));
-    assert!(directory.takes_work(Instant::from_millis(1_300), AgentId(1)));
+    assert!(directory.accepts_work(Instant::from_millis(1_100), AgentId(1)));
+    directory.record_call_failure(Instant::from_millis(1_200), AgentId(1));
+    directory.record_call_success(AgentId(1));
+    assert!(directory.accepts_work(Instant::from_millis(1_300), AgentId(1)));
 }
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn hold_document(&mut self, document: Document) {
-        self.document.hold(document);
+        self.document.update(document);
         self.behind_since = None;
     }
 
@@ -42,16 +42,16 @@
         if held > 0 && now.millis_since(behind_since) < FETCH_PAUSE_MS {
             return;
         }
-        if let Some(request) = self.document.begin_fetch(now, link, revision) {
+        if let Some(request) = self.document.start_fetch(now, link, revision) {
             let frame = EntryFrame::FetchDocument(request);
             self.actions.push(DispatchAction::Send { link, frame });
         }
     }
 
     pub(super) fn take_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
-        match self.document.take_part(now, link, part) {
+        match self.document.handle_part(now, link, part) {
             FetchStep::None => {}
-            FetchStep::Ask(request) => {
+            FetchStep::Request(request) => {
                 let frame = EntryFrame::FetchDocument(request);
                 self.actions.push(DispatchAction::Send { link, frame });
             }
--- a/src/core/dispatch/links.rs
+++ b/src/core/dispatch/links.rs
@@ -122,7 +122,7 @@
         let Some(key) = self.by_link.remove(&link) else {
             return;
         };
-        self.document.lose_peer(link);
+        self.document.disconnect_peer(link);
         let over_after_ms = self.settings.limits.over_after_ms();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
--- a/src/core/document/document_copy.rs
+++ b/src/core/document/document_copy.rs
@@ -7,7 +7,7 @@
 };
 
 /// Most bytes of a part.
-const PART_BYTES: u64 = 32 << 10;
+const MAX_PART_BYTES: u64 = 32 << 10;
 /// Time without a part after which another peer may be asked, in milliseconds.
 const PART_TIMEOUT_MS: u64 = 500;
 /// Longest document that is fetched, in bytes.
@@ -16,7 +16,7 @@
 /// The document that a process holds, and the fetch of a newer one from a peer.
 #[derive(Debug)]
 pub(crate) struct DocumentCopy<P> {
-    held: Option<Document>,
+    current: Option<Document>,
     /// The document before it, for peers that have begun to fetch that.
     previous: Option<Document>,
     fetch: Option<Fetch<P>>,
@@ -28,8 +28,8 @@
     peer: Option<P>,
     revision: u64,
     text: Vec<u8>,
-    begun_at: Instant,
-    heard_at: Instant,
+    started_at: Instant,
+    last_part_at: Instant,
 }
 
 /// A document that was fetched to its end.
@@ -47,7 +47,7 @@
     /// Nothing.
     None,
     /// The next part is to be asked for.
-    Ask(PartRequest),
+    Request(PartRequest),
     /// The document is complete, and held from now on.
     Complete(FetchedDocument),
 }
@@ -55,7 +55,7 @@
 impl<P> Default for DocumentCopy<P> {
     fn default() -> Self {
         Self {
-            held: None,
+            current: None,
             previous: None,
             fetch: None,
         }
@@ -65,11 +65,13 @@
 impl<P: Copy + PartialEq> DocumentCopy<P> {
     /// Revision of the document that is held; zero without one.
     pub(crate) fn revision(&self) -> u64 {
-        self.held.as_ref().map_or(0, |document| document.revision)
+        self.current
+            .as_ref()
+            .map_or(0, |document| document.revision)
     }
 
     /// Holds a document unless it is no newer than the one that is held.
-    pub(crate) fn hold(&mut self, document: Document) {
+    pub(crate) fn update(&mut self, document: Document) {
         if document.revision <= self.revision() {
             return;
         }
@@ -80,12 +82,12 @@
         {
             self.fetch = None;
         }
-        self.previous = self.held.replace(document);
+        self.previous = self.current.replace(document);
     }
 
     /// Begins to fetch a newer revision from a peer that holds it, unless a fetch is under way. What has come of the
     /// same revision from another peer is kept.
-    pub(crate) fn begin_fetch(
+    pub(crate) fn start_fetch(
         &mut self,
         now: Instant,
         peer: P,
@@ -94,33 +96,33 @@
         if revision <= self.revision() {
             return None;
         }
-        let is_under_way = |fetch: &Fetch<P>| {
-            fetch.peer.is_some() && now.millis_since(fetch.heard_at) < PART_TIMEOUT_MS
+        let is_in_progress = |fetch: &Fetch<P>| {
+            fetch.peer.is_some() && now.millis_since(fetch.last_part_at) < PART_TIMEOUT_MS
         };
-        if self.fetch.as_ref().is_some_and(is_under_way) {
+        if self.fetch.as_ref().is_some_and(is_in_progress) {
             return None;
         }
-        let stopped = self.fetch.take().filter(|fetch| fetch.revision == revision);
-        let (text, begun_at) =
-            stopped.map_or((Vec::new(), now), |fetch| (fetch.text, fetch.begun_at));
+        let interrupted = self.fetch.take().filter(|fetch| fetch.revision == revision);
+        let (text, started_at) =
+            interrupted.map_or((Vec::new(), now), |fetch| (fetch.text, fetch.started_at));
         let offset = text.len() as u64;
         self.fetch = Some(Fetch {
             peer: Some(peer),
             revision,
             text,
-            begun_at,
-            heard_at: now,
+            started_at,
+            last_part_at: now,
         });
         Some(PartRequest { revision, offset })
     }
 
     /// The part that a peer asks for.
     pub(crate) fn part(&self, request: PartRequest) -> DocumentPart {
-        let mut documents = self.held.iter().chain(&self.previous);
+        let mut documents = self.current.iter().chain(&self.previous);
         let document = documents.find(|document| document.revision == request.revision);
         let text: &[u8] = document.map_or(&[], |document| &document.text);
         let length = text.len() as u64;
-        let end = request.offset.saturating_add(PART_BYTES).min(length);
+        let end = request.offset.saturating_add(MAX_PART_BYTES).min(length);
         let range = usize::try_from(request.offset).unwrap_or(usize::MAX)
             ..usize::try_from(end).unwrap_or(usize::MAX);
         DocumentPart {
@@ -131,7 +133,7 @@
     }
 
     /// Takes in a part.
-    pub(crate) fn take_part(&mut self, now: Instant, peer: P, part: &DocumentPart) -> FetchStep {
+    pub(crate) fn handle_part(&mut self, now: Instant, peer: P, part: &DocumentPart) -> FetchStep {
         let Some(fetch) = &mut self.fetch else {
             return FetchStep::None;
         };
@@ -146,25 +148,25 @@
             self.fetch = None;
             return FetchStep::None;
         }
-        fetch.heard_at = now;
+        fetch.last_part_at = now;
         fetch.text.extend_from_slice(&part.bytes);
         let offset = fetch.text.len() as u64;
         if offset < part.document_bytes {
-            return FetchStep::Ask(PartRequest { offset, ..expected });
+            return FetchStep::Request(PartRequest { offset, ..expected });
         }
         let fetched = FetchedDocument {
             document: Document {
                 revision: fetch.revision,
                 text: Arc::from(std::mem::take(&mut fetch.text)),
             },
-            took_ms: now.millis_since(fetch.begun_at),
+            took_ms: now.millis_since(fetch.started_at),
         };
-        self.hold(fetched.document.clone());
+        self.update(fetched.document.clone());
         FetchStep::Complete(fetched)
     }
 
     /// Notes that a peer is gone; what is fetched from it goes on with another one.
-    pub(crate) fn lose_peer(&mut self, peer: P) {
+    pub(crate) fn disconnect_peer(&mut self, peer: P) {
         if let Some(fetch) = &mut self.fetch
             && fetch.peer == Some(peer)
         {
--- a/src/core/document/tests.rs
+++ b/src/core/document/tests.rs
@@ -26,7 +26,7 @@
     let mut copy = DocumentCopy::default();
     revisions
         .into_iter()
-        .for_each(|revision| copy.hold(document(revision)));
+        .for_each(|revision| copy.update(document(revision)));
     copy
 }
 
@@ -36,10 +36,10 @@
     holder: &DocumentCopy<u8>,
     revision: u64,
 ) -> Option<Document> {
-    let mut request = copy.begin_fetch(at(0), 1, revision)?;
+    let mut request = copy.start_fetch(at(0), 1, revision)?;
     loop {
-        match copy.take_part(at(1), 1, &holder.part(request)) {
-            FetchStep::Ask(next) => request = next,
+        match copy.handle_part(at(1), 1, &holder.part(request)) {
+            FetchStep::Request(next) => request = next,
             FetchStep::Complete(fetched) => return Some(fetched.document),
             FetchStep::None => return None,
         }
@@ -61,20 +61,20 @@
 }
 
 fetch_cases! {
-    a_newer_document_is_fetched_whole: [3], [7], 7 => Some(7);
-    a_document_that_is_held_is_not_fetched: [7], [7], 7 => None;
+    a_newer_document_is_fetched_completely: [3], [7], 7 => Some(7);
+    the_current_document_is_not_fetched_again: [7], [7], 7 => None;
     /// Guards against a peer that changes on while it is asked: what was begun is finished.
-    the_document_before_the_newest_is_still_given: [3], [7, 9], 7 => Some(7);
-    a_document_that_is_held_no_more_is_given_up: [3], [7, 9, 12], 7 => None;
+    the_previous_document_is_still_served: [3], [7, 9], 7 => Some(7);
+    a_fetch_of_a_discarded_document_fails: [3], [7, 9, 12], 7 => None;
 }
 
 /// Guards against a fetch that waits for ever on a peer that has fallen silent.
 #[test]
-fn another_peer_is_asked_after_a_silent_one() {
+fn a_fetch_moves_to_another_peer_after_a_timeout() {
     let mut copy = holder([3]);
-    assert!(copy.begin_fetch(at(0), 1, 7).is_some());
-    assert_eq!(copy.begin_fetch(at(400), 2, 7), None);
-    let request = copy.begin_fetch(at(600), 2, 7);
+    assert!(copy.start_fetch(at(0), 1, 7).is_some());
+    assert_eq!(copy.start_fetch(at(400), 2, 7), None);
+    let request = copy.start_fetch(at(600), 2, 7);
     assert_eq!(
         request,
         Some(PartRequest {
@@ -86,19 +86,19 @@
         revision: 7,
         offset: 0,
     });
-    assert_eq!(copy.take_part(at(601), 1, &late), FetchStep::None);
-    copy.lose_peer(2);
-    assert!(copy.begin_fetch(at(602), 1, 7).is_some());
+    assert_eq!(copy.handle_part(at(601), 1, &late), FetchStep::None);
+    copy.disconnect_peer(2);
+    assert!(copy.start_fetch(at(602), 1, 7).is_some());
 }
 
 /// Guards against a fetch that would put an older document in the place of one that came another way.
 #[test]
-fn a_newer_document_ends_the_fetch_of_an_older_one() {
+fn a_newer_document_cancels_the_fetch_of_an_older_one() {
     let mut copy = holder([3]);
-    let request = copy.begin_fetch(at(0), 1, 7).expect("a request");
-    copy.hold(document(9));
+    let request = copy.start_fetch(at(0), 1, 7).expect("a request");
+    copy.update(document(9));
     assert_eq!(
-        copy.take_part(at(1), 1, &holder([7]).part(request)),
+        copy.handle_part(at(1), 1, &holder([7]).part(request)),
         FetchStep::None
     );
     assert_eq!(copy.revision(), 9);
@@ -106,18 +106,18 @@
 
 /// Guards against a fetch that begins anew with each peer that is lost, and never ends on a link that is busy.
 #[test]
-fn a_fetch_goes_on_with_another_peer() {
+fn a_fetch_resumes_with_another_peer_after_a_disconnect() {
     let (mut copy, holder) = (holder([3]), holder([7]));
-    let first = copy.begin_fetch(at(0), 1, 7).expect("a request");
-    let FetchStep::Ask(next) = copy.take_part(at(1), 1, &holder.part(first)) else {
+    let first = copy.start_fetch(at(0), 1, 7).expect("a request");
+    let FetchStep::Request(next) = copy.handle_part(at(1), 1, &holder.part(first)) else {
         panic!("more than one part");
     };
-    copy.lose_peer(1);
-    assert_eq!(copy.begin_fetch(at(2), 2, 7), Some(next));
+    copy.disconnect_peer(1);
+    assert_eq!(copy.start_fetch(at(2), 2, 7), Some(next));
     let mut request = next;
     let fetched = loop {
-        match copy.take_part(at(3), 2, &holder.part(request)) {
-            FetchStep::Ask(next) => request = next,
+        match copy.handle_part(at(3), 2, &holder.part(request)) {
+            FetchStep::Request(next) => request = next,
             FetchStep::Complete(fetched) => break fetched.document,
             FetchStep::None => panic!("a part is refused"),
         }
--- a/src/core/execution/documents.rs
+++ b/src/core/execution/documents.rs
@@ -35,7 +35,7 @@
         if now.millis_since(holder_since) < HOLDER_PAUSE_MS {
             return;
         }
-        if let Some(request) = self.document.begin_fetch(now, session, revision) {
+        if let Some(request) = self.document.start_fetch(now, session, revision) {
             self.send(session, AgentFrame::FetchDocument(request));
         }
     }
@@ -46,9 +46,9 @@
         session: SessionId,
         part: &DocumentPart,
     ) {
-        match self.document.take_part(now, session, part) {
+        match self.document.handle_part(now, session, part) {
             FetchStep::None => {}
-            FetchStep::Ask(request) => self.send(session, AgentFrame::FetchDocument(request)),
+            FetchStep::Request(request) => self.send(session, AgentFrame::FetchDocument(request)),
             FetchStep::Complete(fetched) => {
                 let link = self.sessions.get(&session);
                 self.log_event(ExecutionLogEvent::DocumentFetched {
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -256,7 +256,7 @@
         let Some(link) = self.sessions.remove(&session) else {
             return;
         };
-        self.document.lose_peer(session);
+        self.document.disconnect_peer(session);
         let tasks = self.tasks_of(session);
         self.log_event(ExecutionLogEvent::EntryLost {
             entry: link.entry.clone(),
--- a/src/core/roster/entry_choice.rs
+++ b/src/core/roster/entry_choice.rs
@@ -10,9 +10,9 @@
 /// Each announcement grants tickets to the entry that takes it, and a grant is good for five
 /// seconds. Taking turns over a few entries keeps tickets of every home at each of them, where
 /// one fixed entry for each agent would leave some entries without tickets when agents are few.
-const TURNS: usize = 3;
+const ROTATION_SIZE: usize = 3;
 /// For how long an entry that failed is left out, in milliseconds.
-const SUSPECT_MS: u64 = 3_000;
+const SUSPECT_TIMEOUT_MS: u64 = 3_000;
 
 /// Chooses entries by rendezvous hashing: each agent has an order of its own, and an entry that
 /// comes or goes changes the choice only of the agents that it wins or loses.
@@ -45,25 +45,25 @@
     }
 
     /// An entry didn't answer, or can't vouch for the configuration.
-    pub(crate) fn suspect(&mut self, now: Instant, entry: SocketAddr) {
+    pub(crate) fn mark_suspect(&mut self, now: Instant, entry: SocketAddr) {
         self.suspects.insert(entry, now);
     }
 
     /// An entry answered.
-    pub(crate) fn trust(&mut self, entry: SocketAddr) {
+    pub(crate) fn clear_suspect(&mut self, entry: SocketAddr) {
         self.suspects.remove(&entry);
     }
 
     /// The entries to try for the next announcement, first to last.
-    pub(crate) fn next_round(&mut self, now: Instant) -> Vec<SocketAddr> {
+    pub(crate) fn next_attempt_order(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.suspects
-            .retain(|_, since| now.millis_since(*since) < SUSPECT_MS);
+            .retain(|_, since| now.millis_since(*since) < SUSPECT_TIMEOUT_MS);
         let mut order = ranked(self.agent, &self.roster);
-        let turns = order.len().clamp(1, TURNS);
-        let turn = self.turn % turns;
+        let rotation_size = order.len().clamp(1, ROTATION_SIZE);
+        let turn = self.turn % rotation_size;
         self.turn = self.turn.wrapping_add(1);
         if turn < order.len() {
-            order[..turns].rotate_left(turn);
+            order[..rotation_size].rotate_left(turn);
         }
         for seed in ranked(self.agent, &self.seeds) {
             if !order.contains(&seed) {
--- a/src/core/roster/mod.rs
+++ b/src/core/roster/mod.rs
@@ -10,5 +10,5 @@
 pub(crate) use {
     entry_choice::EntryChoice,
     roster::{Roster, RosterScan},
-    roster_row::{ROSTER_PREFIX, RosterRow, beat_key, entry_key},
+    roster_row::{ROSTER_PREFIX, RosterRow, entry_key, heartbeat_key},
 };
--- a/src/core/roster/roster.rs
+++ b/src/core/roster/roster.rs
@@ -1,7 +1,7 @@
 //! The roster as one entry reads it.
 
 use {
-    super::{RosterRow, beat_key, entry_key},
+    super::{RosterRow, entry_key, heartbeat_key},
     crate::core::{message::PeerEntry, ticket::AgentId, time::Instant},
     std::collections::BTreeMap,
 };
@@ -9,32 +9,32 @@
 /// Silence of the platform after which beats are timed anew, in milliseconds.
 ///
 /// Guards against a stampede of removals after an outage: nobody could write a beat meanwhile.
-const SURVEY_GAP_MS: u64 = 10_000;
+const SCAN_GAP_MS: u64 = 10_000;
 /// Room for clocks that run at different speeds: a twentieth of the limit.
 const CLOCK_MARGIN_DIVISOR: u64 = 20;
 
 #[derive(Debug)]
-struct Listed {
+struct RosterEntry {
     row: RosterRow,
-    beat_version: u64,
+    heartbeat_version: u64,
     /// When the beat row was first seen at this version.
-    beat_seen_at: Instant,
+    heartbeat_seen_at: Instant,
 }
 
 /// What a reading of all rows showed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RosterScan {
     /// Whether this entry's own row stands.
-    pub(crate) own_row_stands: bool,
+    pub(crate) own_row_exists: bool,
     /// Entries whose rows are to be removed, with the version of the beat row last seen.
-    pub(crate) gone: Vec<(AgentId, u64)>,
+    pub(crate) expired: Vec<(AgentId, u64)>,
 }
 
 /// The entries on the roster.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
-    listed: BTreeMap<AgentId, Listed>,
-    surveyed_at: Option<Instant>,
+    entries: BTreeMap<AgentId, RosterEntry>,
+    last_scan_at: Option<Instant>,
 }
 
 impl Roster {
@@ -46,73 +46,73 @@
     pub(crate) fn apply_scan(
         &mut self,
         now: Instant,
-        me: &PeerEntry,
+        local: &PeerEntry,
         rows: Vec<RosterRow>,
-        beats: &BTreeMap<String, u64>,
+        heartbeats: &BTreeMap<String, u64>,
     ) -> RosterScan {
-        let is_late = self
-            .surveyed_at
-            .is_none_or(|at| now.millis_since(at) >= SURVEY_GAP_MS);
-        self.surveyed_at = Some(now);
-        let mut listed = BTreeMap::new();
+        let is_gap_exceeded = self
+            .last_scan_at
+            .is_none_or(|at| now.millis_since(at) >= SCAN_GAP_MS);
+        self.last_scan_at = Some(now);
+        let mut entries = BTreeMap::new();
         for row in rows {
             let entry = row.entry.entry;
-            let beat_version = beats.get(&beat_key(entry)).copied().unwrap_or(0);
-            let beat_seen_at = self
-                .listed
+            let heartbeat_version = heartbeats.get(&heartbeat_key(entry)).copied().unwrap_or(0);
+            let heartbeat_seen_at = self
+                .entries
                 .get(&entry)
-                .filter(|known| known.beat_version == beat_version && !is_late)
-                .map_or(now, |known| known.beat_seen_at);
-            let known = Listed {
+                .filter(|known| known.heartbeat_version == heartbeat_version && !is_gap_exceeded)
+                .map_or(now, |known| known.heartbeat_seen_at);
+            let known = RosterEntry {
                 row,
-                beat_version,
-                beat_seen_at,
+                heartbeat_version,
+                heartbeat_seen_at,
             };
-            listed.insert(entry, known);
+            entries.insert(entry, known);
         }
-        self.listed = listed;
+        self.entries = entries;
         RosterScan {
-            own_row_stands: self.listed.contains_key(&me.entry),
-            gone: self.gone(now, me),
+            own_row_exists: self.entries.contains_key(&local.entry),
+            expired: self.expired(now, local),
         }
     }
 
-    fn gone(&self, now: Instant, me: &PeerEntry) -> Vec<(AgentId, u64)> {
-        self.listed
+    fn expired(&self, now: Instant, local: &PeerEntry) -> Vec<(AgentId, u64)> {
+        self.entries
             .values()
-            .filter(|listed| listed.row.entry.entry != me.entry)
-            .filter(|listed| {
-                let limit_ms = listed.row.outage_limit_ms;
-                let silent_ms = now.millis_since(listed.beat_seen_at);
-                listed.row.entry.peer_addr == me.peer_addr
-                    || silent_ms >= limit_ms + limit_ms / CLOCK_MARGIN_DIVISOR
+            .filter(|known| known.row.entry.entry != local.entry)
+            .filter(|known| {
+                let limit_ms = known.row.outage_limit_ms;
+                let stale_ms = now.millis_since(known.heartbeat_seen_at);
+                known.row.entry.peer_addr == local.peer_addr
+                    || stale_ms >= limit_ms + limit_ms / CLOCK_MARGIN_DIVISOR
             })
-            .map(|listed| (listed.row.entry.entry, listed.beat_version))
+            .map(|known| (known.row.entry.entry, known.heartbeat_version))
             .collect()
     }
 
     /// Keys of the two rows of an entry.
-    pub(crate) fn keys(entry: AgentId) -> [String; 2] {
-        [entry_key(entry), beat_key(entry)]
+    pub(crate) fn row_keys(entry: AgentId) -> [String; 2] {
+        [entry_key(entry), heartbeat_key(entry)]
     }
 
     /// All entries but `me`.
-    pub(crate) fn others(&self, me: AgentId) -> impl Iterator<Item = &PeerEntry> {
-        self.listed
+    pub(crate) fn others(&self, local: AgentId) -> impl Iterator<Item = &PeerEntry> {
+        self.entries
             .values()
-            .map(|listed| &listed.row.entry)
-            .filter(move |entry| entry.entry != me)
+            .map(|known| &known.row.entry)
+            .filter(move |entry| entry.entry != local)
     }
 
     /// An entry made itself known before its row was read.
     pub(crate) fn add_announced(&mut self, now: Instant, entry: PeerEntry, outage_limit_ms: u64) {
-        self.listed.entry(entry.entry).or_insert(Listed {
+        self.entries.entry(entry.entry).or_insert(RosterEntry {
             row: RosterRow {
                 entry,
                 outage_limit_ms,
             },
-            beat_version: 0,
-            beat_seen_at: now,
+            heartbeat_version: 0,
+            heartbeat_seen_at: now,
         });
     }
 }
--- a/src/core/roster/roster_row.rs
+++ b/src/core/roster/roster_row.rs
@@ -8,7 +8,7 @@
 /// Prefix of all rows of the roster.
 pub(crate) const ROSTER_PREFIX: &str = "entries-";
 /// Ends the key of the row that is written again and again.
-const BEAT_SUFFIX: &str = "-beat";
+const HEARTBEAT_SUFFIX: &str = "-beat";
 
 /// An entry's row; written once, so that a change of the configuration can check that it stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,6 +26,6 @@
 }
 
 /// Key of the row that shows that an entry is there.
-pub(crate) fn beat_key(entry: AgentId) -> String {
-    format!("{ROSTER_PREFIX}{:016x}{BEAT_SUFFIX}", entry.0)
+pub(crate) fn heartbeat_key(entry: AgentId) -> String {
+    format!("{ROSTER_PREFIX}{:016x}{HEARTBEAT_SUFFIX}", entry.0)
 }
--- a/src/entry/config_draft.rs
+++ b/src/entry/config_draft.rs
@@ -8,8 +8,8 @@
             split_version_mark, with_zone_state,
         },
         core::config::{
-            BasedOn, ChangeInput, ChangeRefusal, Document, Head, SECTIONS, SectionState, Sections,
-            ZoneState,
+            BasedOn, ChangeInput, ChangeRejection, Document, Head, SECTIONS, SectionState,
+            Sections, ZoneState,
         },
     },
     std::collections::BTreeSet,
@@ -75,7 +75,7 @@
         .into_iter()
         .map(|section| {
             let state = SectionState {
-                meaning: document.only(section),
+                value: document.only_section(section),
                 text: texts.remove(section).unwrap_or_default(),
             };
             (section, state)
@@ -155,7 +155,7 @@
     fn input(&self) -> ChangeInput<'_, Document> {
         ChangeInput {
             based_on: &self.based_on,
-            mine: &self.sections,
+            proposed: &self.sections,
             current: &self.current,
             head: &self.in_force.head,
             owned: self.owned,
@@ -170,8 +170,8 @@
     /// Merges the document into the one in force and checks the result as a whole.
     pub(crate) fn draft(&self, bases: &Sections<Document>) -> Result<Draft, ApplyError> {
         let taken = self.input().plan(bases).map_err(|refusal| match refusal {
-            ChangeRefusal::Forbidden(section) => ApplyError::Forbidden(section.to_owned()),
-            ChangeRefusal::Conflict(conflicts) => {
+            ChangeRejection::Forbidden(section) => ApplyError::Forbidden(section.to_owned()),
+            ChangeRejection::Conflict(conflicts) => {
                 ApplyError::Conflict(self.in_force.head.version, conflicts)
             }
         })?;
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -91,7 +91,7 @@
 
     fn renew_home_choice(&mut self, now: Instant) {
         let mut homes = self.tickets.homes(now);
-        homes.retain(|home| self.directory.takes_work(now, *home));
+        homes.retain(|home| self.directory.accepts_work(now, *home));
         prefer_open(&mut homes, &self.directory, self.in_force.as_ref());
         self.home_choice.renew(now, homes);
     }
@@ -105,7 +105,7 @@
             ..
         } = self;
         let mut mint_at = |home| {
-            if !directory.takes_work(now, home) {
+            if !directory.accepts_work(now, home) {
                 return None;
             }
             tickets.mint(now, home)
@@ -236,12 +236,12 @@
     /// A call to an agent failed.
     pub(crate) fn call_failed(&self, agent: AgentId) {
         let now = self.timer.now();
-        self.lock().directory.call_failed(now, agent);
+        self.lock().directory.record_call_failure(now, agent);
     }
 
     /// A call to an agent was answered.
     pub(crate) fn call_answered(&self, agent: AgentId) {
-        self.lock().directory.call_answered(agent);
+        self.lock().directory.record_call_success(agent);
     }
 
     /// The service's declaration, if the configuration in force has it.
@@ -295,7 +295,7 @@
             .directory
             .candidates(now, &in_force.document, name, service);
         let mut homes = inner.tickets.homes(now);
-        homes.retain(|home| inner.directory.takes_work(now, *home));
+        homes.retain(|home| inner.directory.accepts_work(now, *home));
         // The same homes that tickets are minted for: each then has runners of its own.
         prefer_open(&mut homes, &inner.directory, Some(in_force));
         Some(RunnerRing::new(active_homes(homes), runners))
@@ -306,8 +306,13 @@
         let now = self.timer.now();
         self.lock()
             .directory
-            .listed()
-            .map(|view| (view.announcement.clone(), now.millis_since(view.heard_at)))
+            .agents()
+            .map(|view| {
+                (
+                    view.announcement.clone(),
+                    now.millis_since(view.last_heard_at),
+                )
+            })
             .collect()
     }
 
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -122,7 +122,7 @@
         let mut inner = self.lock();
         let me = inner.me.clone();
         let survey = inner.roster.apply_scan(now, &me, rows, beats);
-        if survey.own_row_stands {
+        if survey.own_row_exists {
             let others: BTreeSet<AgentId> = inner
                 .roster
                 .others(me.entry)
@@ -161,7 +161,7 @@
             from: inner.me.clone(),
             version: inner.gate.status(now).version,
             reports: std::mem::take(&mut telling.reports),
-            beats: std::mem::take(&mut telling.beats),
+            beats: std::mem::take(&mut telling.heartbeats),
         };
         (digest, telling)
     }
--- a/src/entry/roster_keeper.rs
+++ b/src/entry/roster_keeper.rs
@@ -4,7 +4,7 @@
     super::{ConfigKeeper, EntryState},
     crate::{
         core::{
-            roster::{ROSTER_PREFIX, Roster, RosterRow, beat_key, entry_key},
+            roster::{ROSTER_PREFIX, Roster, RosterRow, entry_key, heartbeat_key},
             ticket::AgentId,
             time::Instant,
         },
@@ -85,7 +85,7 @@
             checks: vec![check(key.clone(), 0)],
             puts: vec![
                 put(key, Some(value)),
-                put(beat_key(row.entry.entry), Some(String::new())),
+                put(heartbeat_key(row.entry.entry), Some(String::new())),
             ],
         };
         let sent_at = self.timer.now();
@@ -109,7 +109,7 @@
         let entry = self.state.me().entry;
         let transaction = Transaction {
             checks: vec![check(entry_key(entry), WRITTEN_ONCE)],
-            puts: vec![put(beat_key(entry), Some(String::new()))],
+            puts: vec![put(heartbeat_key(entry), Some(String::new()))],
         };
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await? {
@@ -147,11 +147,11 @@
         self.keeper.refresh().await?;
         let survey = self.state.roster_read(asked_at, entries, &beats);
         self.surveyed_at = Some(asked_at);
-        if !survey.own_row_stands {
+        if !survey.own_row_exists {
             self.renew_identity();
             return Ok(());
         }
-        for (entry, beat_version) in survey.gone {
+        for (entry, beat_version) in survey.expired {
             log::warn!(entry = entry.0; "an entry that is gone is taken off the roster");
             self.remove(entry, Some(beat_version)).await?;
         }
@@ -163,10 +163,10 @@
         entry: AgentId,
         beat_version: Option<u64>,
     ) -> Result<TransactionOutcome, StoreError> {
-        let checks = beat_version.map(|version| check(beat_key(entry), version));
+        let checks = beat_version.map(|version| check(heartbeat_key(entry), version));
         let transaction = Transaction {
             checks: checks.into_iter().collect(),
-            puts: Roster::keys(entry).map(|key| put(key, None)).into(),
+            puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
         };
         self.table.transact(transaction).await
     }
@@ -177,7 +177,7 @@
     let entry = state.me().entry;
     let transaction = Transaction {
         checks: Vec::new(),
-        puts: Roster::keys(entry).map(|key| put(key, None)).into(),
+        puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
     };
     if let Err(error) = table.transact(transaction).await {
         log::warn!(error:% = error; "this entry could not be taken off the roster");
--- a/src/platform/client_calls.rs
+++ b/src/platform/client_protocol.rs
@@ -1,7 +1,7 @@
 //! Clients' calls and the answers to them.
 
 use {
-    super::{PlatformError, job_body::read_job},
+    super::{PlatformError, job_body::parse_job},
     crate::{
         adapters::http::{HttpRequest, HttpResponse},
         core::{
@@ -32,11 +32,11 @@
 
 /// Translates clients' calls and answers.
 #[derive(Debug)]
-pub(crate) struct PlatformClients;
+pub(crate) struct ClientProtocol;
 
-impl PlatformClients {
+impl ClientProtocol {
     /// What a call to a queue wants; `rest` is the path after the queue's prefix.
-    pub(crate) fn action(method: &Method, rest: &str) -> ClientAction {
+    pub(crate) fn parse_action(method: &Method, rest: &str) -> ClientAction {
         let id = JobId::parse(rest);
         match (method, id) {
             (&Method::POST, Some(id)) => ClientAction::Submit(id),
@@ -48,39 +48,39 @@
     }
 
     /// The job in a call's body.
-    pub(crate) fn job(call: &HttpRequest) -> Result<JobRequest, PlatformError> {
-        read_job(&call.body)
+    pub(crate) fn parse_job(request: &HttpRequest) -> Result<JobRequest, PlatformError> {
+        parse_job(&request.body)
     }
 
     /// How long the client waits, if it says so.
-    pub(crate) fn time_left_ms(call: &HttpRequest) -> Option<u64> {
-        call.header(DEADLINE_HEADER)?.parse().ok()
+    pub(crate) fn time_left_ms(request: &HttpRequest) -> Option<u64> {
+        request.header(DEADLINE_HEADER)?.parse().ok()
     }
 
     /// The final answer to a job.
     ///
     /// A client sends the job again after a 504, and takes a 429 or 503 as word that it never runs.
-    pub(crate) fn answer(answer: JobOutcome) -> HttpResponse {
-        match answer {
+    pub(crate) fn outcome_response(outcome: JobOutcome) -> HttpResponse {
+        match outcome {
             JobOutcome::Completed => HttpResponse::json(StatusCode::OK, r#"{"state":"completed"}"#),
             JobOutcome::Failed => HttpResponse::json(StatusCode::OK, r#"{"state":"failed"}"#),
             JobOutcome::NotRun {
                 reason,
                 retry_after_ms,
-            } => Self::refusal(
+            } => Self::rejection(
                 StatusCode::SERVICE_UNAVAILABLE,
                 reason.as_str(),
                 retry_after_ms,
             ),
             JobOutcome::GivenUp(reason) => {
-                Self::refusal(StatusCode::GATEWAY_TIMEOUT, reason.as_str(), 0)
+                Self::rejection(StatusCode::GATEWAY_TIMEOUT, reason.as_str(), 0)
             }
         }
     }
 
     /// The answer while there is no configuration to go by.
     pub(crate) fn not_configured(retry_after_ms: u64) -> HttpResponse {
-        Self::refusal(
+        Self::rejection(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_configuration",
             retry_after_ms,
@@ -89,17 +89,17 @@
 
     /// The answer for a queue that does not exist.
     pub(crate) fn no_route() -> HttpResponse {
-        Self::refusal(StatusCode::NOT_FOUND, "no_route", 0)
+        Self::rejection(StatusCode::NOT_FOUND, "no_route", 0)
     }
 
     /// The answer for a job that is not known: nothing is kept of jobs that have ended.
     pub(crate) fn no_job() -> HttpResponse {
-        Self::refusal(StatusCode::GONE, "no_job", 0)
+        Self::rejection(StatusCode::GONE, "no_job", 0)
     }
 
     /// The answer to a call that can't be understood.
     pub(crate) fn bad_request() -> HttpResponse {
-        Self::refusal(StatusCode::BAD_REQUEST, "bad_request", 0)
+        Self::rejection(StatusCode::BAD_REQUEST, "bad_request", 0)
     }
 
     /// How many jobs of a queue wait.
@@ -107,12 +107,12 @@
         HttpResponse::json(StatusCode::OK, format!(r#"{{"pending":{jobs}}}"#))
     }
 
-    fn refusal(status: StatusCode, reason: &str, retry_after_ms: u64) -> HttpResponse {
-        let answer = HttpResponse::json(status, format!(r#"{{"error":"{reason}"}}"#));
+    fn rejection(status: StatusCode, reason: &str, retry_after_ms: u64) -> HttpResponse {
+        let response = HttpResponse::json(status, format!(r#"{{"error":"{reason}"}}"#));
         if retry_after_ms == 0 {
-            return answer;
+            return response;
         }
         let retry_after_s = retry_after_ms.div_ceil(1_000);
-        answer.with_header(http::header::RETRY_AFTER, &retry_after_s.to_string())
+        response.with_header(http::header::RETRY_AFTER, &retry_after_s.to_string())
     }
 }
--- a/src/platform/config_document.rs
+++ b/src/platform/config_document.rs
@@ -70,7 +70,7 @@
 }
 
 /// The configuration that a document holds.
-pub(crate) fn read_config(document: &Document) -> Result<SiteConfig, PlatformError> {
+pub(crate) fn parse_config(document: &Document) -> Result<SiteConfig, PlatformError> {
     let body: ConfigBody = read_json(&document.text)?;
     Ok(SiteConfig {
         version: body.version,
@@ -107,11 +107,11 @@
 }
 
 fn limits(body: &LimitsBody) -> HttpLimits {
-    let usual = HttpLimits::default();
+    let defaults = HttpLimits::default();
     HttpLimits {
-        max_header_bytes: body.max_header_bytes.unwrap_or(usual.max_header_bytes),
-        max_body_bytes: body.max_body_bytes.unwrap_or(usual.max_body_bytes),
-        header_timeout_ms: body.header_timeout_ms.unwrap_or(usual.header_timeout_ms),
-        idle_timeout_ms: body.idle_timeout_ms.unwrap_or(usual.idle_timeout_ms),
+        max_header_bytes: body.max_header_bytes.unwrap_or(defaults.max_header_bytes),
+        max_body_bytes: body.max_body_bytes.unwrap_or(defaults.max_body_bytes),
+        header_timeout_ms: body.header_timeout_ms.unwrap_or(defaults.header_timeout_ms),
+        idle_timeout_ms: body.idle_timeout_ms.unwrap_or(defaults.idle_timeout_ms),
     }
 }
--- a/src/platform/errors.rs
+++ b/src/platform/errors.rs
@@ -16,15 +16,15 @@
             display("no connection: {}", detail)
         }
         /// The connection broke or stayed silent; the call may have been carried out.
-        NoAnswer(detail: String) {
+        NoResponse(detail: String) {
             display("no answer: {}", detail)
         }
         /// The other side refused; nothing was done.
-        Refused(status: StatusCode) {
+        Rejected(status: StatusCode) {
             display("refused with status {}", status)
         }
         /// A body or row that can't be read.
-        Unreadable(detail: String) {
+        Malformed(detail: String) {
             display("unreadable: {}", detail)
         }
     }
@@ -34,11 +34,11 @@
     fn from(error: PlatformError) -> Self {
         let detail = error.to_string();
         match error {
-            PlatformError::NoAnswer(_) => Self::OutcomeUnknown(detail),
+            PlatformError::NoResponse(_) => Self::OutcomeUnknown(detail),
             PlatformError::Request(_)
             | PlatformError::NoConnection(_)
-            | PlatformError::Refused(_)
-            | PlatformError::Unreadable(_) => Self::Unavailable(detail),
+            | PlatformError::Rejected(_)
+            | PlatformError::Malformed(_) => Self::Unavailable(detail),
         }
     }
 }
--- a/src/platform/worker_calls.rs
+++ b/src/platform/http_worker_client.rs
@@ -1,7 +1,9 @@
 //! Calls to the worker beside the agent.
 
 use {
-    super::{PlatformCaller, PlatformError, json::write_json, platform_caller::PlatformCall},
+    super::{
+        PlatformError, PlatformHttpClient, json::write_json, platform_http_client::PlatformRequest,
+    },
     crate::{
         core::{
             execution::{
@@ -24,9 +26,9 @@
 ///
 /// The worker is on the same host and answers within a few milliseconds; a host whose processor share is
 /// used up stands still for up to a tenth of a second.
-const ORDER_TIMEOUT_MS: u64 = 160;
+const RUN_CALL_TIMEOUT_MS: u64 = 160;
 /// Time beyond the asked wait after which a hold is given up, in milliseconds; as above.
-const HOLD_SLACK_MS: u64 = 160;
+const HOLD_TIMEOUT_MARGIN_MS: u64 = 160;
 
 #[derive(Debug, Serialize)]
 struct StartBody<'a> {
@@ -70,7 +72,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct ListsBody {
+struct RunListBody {
     clock_ms: u64,
     #[serde(default)]
     born: Option<u64>,
@@ -82,15 +84,15 @@
 
 /// The worker at one address.
 #[derive(Debug)]
-pub(crate) struct HttpWorker {
-    caller: PlatformCaller,
+pub(crate) struct HttpWorkerClient {
+    client: PlatformHttpClient,
     addr: SocketAddr,
 }
 
-impl HttpWorker {
+impl HttpWorkerClient {
     /// The worker that listens there.
-    pub(crate) const fn new(caller: PlatformCaller, addr: SocketAddr) -> Self {
-        Self { caller, addr }
+    pub(crate) const fn new(client: PlatformHttpClient, addr: SocketAddr) -> Self {
+        Self { client, addr }
     }
 
     async fn post<B: Serialize>(
@@ -101,10 +103,10 @@
         timeout_ms: u64,
     ) -> Result<(StatusCode, bytes::Bytes), PlatformError> {
         let expected = HeaderValue::from_str(worker)
-            .map_err(|error| PlatformError::Unreadable(error.to_string()))?;
+            .map_err(|error| PlatformError::Malformed(error.to_string()))?;
         let body = write_json(body)?;
-        self.caller
-            .call(PlatformCall {
+        self.client
+            .call(PlatformRequest {
                 method: Method::POST,
                 to: self.addr,
                 path: path.to_owned(),
@@ -117,7 +119,7 @@
 }
 
 #[async_trait]
-impl WorkerClient for HttpWorker {
+impl WorkerClient for HttpWorkerClient {
     async fn start(&self, call: &StartCall) -> StartResponse {
         let body = StartBody {
             task: task_name(call.task),
@@ -126,10 +128,10 @@
             deadline_ms: call.lease_until_ms,
             fencing_token: call.token,
         };
-        let answer = self.post("/v1/run-start", &call.worker, &body, ORDER_TIMEOUT_MS);
-        match answer.await {
+        let response = self.post("/v1/run-start", &call.worker, &body, RUN_CALL_TIMEOUT_MS);
+        match response.await {
             Ok((StatusCode::OK, _)) => StartResponse::Accepted,
-            Ok((StatusCode::CONFLICT, body)) => conflict(&body),
+            Ok((StatusCode::CONFLICT, body)) => parse_conflict(&body),
             Ok((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _)) => {
                 StartResponse::Unhealthy
             }
@@ -154,8 +156,8 @@
             run: call.number,
             fencing_token: call.token,
         };
-        let answer = self.post("/v1/run-stop", &call.worker, &body, ORDER_TIMEOUT_MS);
-        match answer.await {
+        let response = self.post("/v1/run-stop", &call.worker, &body, RUN_CALL_TIMEOUT_MS);
+        match response.await {
             Ok((status, _)) => status.is_success(),
             Err(error) => {
                 log::debug!(error:% = error; "a stop was not answered");
@@ -171,9 +173,9 @@
             last_seen: call.ends_seen,
             wait_ms: call.wait_ms,
         };
-        let timeout_ms = call.wait_ms + HOLD_SLACK_MS;
+        let timeout_ms = call.wait_ms + HOLD_TIMEOUT_MARGIN_MS;
         match self.post("/v1/hold", &call.worker, &body, timeout_ms).await {
-            Ok((StatusCode::OK, body)) => lists(&body),
+            Ok((StatusCode::OK, body)) => parse_run_list(&body),
             Ok((StatusCode::CONFLICT, _)) => HoldResponse::Fenced,
             Ok((StatusCode::MISDIRECTED_REQUEST, _)) => HoldResponse::OtherWorker,
             Ok((status, _)) => {
@@ -193,7 +195,7 @@
     format!("{}.0.{}.{}", task.job, task.step, task.index)
 }
 
-fn read_task_name(name: &str) -> Option<TaskId> {
+fn parse_task_name(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     let job = JobId::parse(parts.next()?)?;
     let _occurrence = parts.next()?;
@@ -205,7 +207,7 @@
 }
 
 /// What a rejection of a start says; unreadable ones count as rejected.
-fn conflict(body: &[u8]) -> StartResponse {
+fn parse_conflict(body: &[u8]) -> StartResponse {
     let reason = serde_json::from_slice::<ReasonBody>(body)
         .unwrap_or_default()
         .reason;
@@ -222,8 +224,8 @@
 }
 
 /// The worker's lists; rows that can't be read are left aside.
-fn lists(body: &[u8]) -> HoldResponse {
-    let body: ListsBody = match serde_json::from_slice(body) {
+fn parse_run_list(body: &[u8]) -> HoldResponse {
+    let body: RunListBody = match serde_json::from_slice(body) {
         Ok(body) => body,
         Err(error) => {
             log::warn!(error:% = error; "the worker's lists can't be read");
@@ -236,26 +238,26 @@
         running: body
             .running
             .iter()
-            .filter_map(|row| listed_run(row))
+            .filter_map(|row| parse_listed_run(row))
             .collect(),
         ended: body
             .finished
             .iter()
-            .filter_map(|row| listed_end(row))
+            .filter_map(|row| parse_listed_end(row))
             .collect(),
     }
 }
 
 /// A row of task, run, and what this project makes no use of.
-fn listed_run(row: &[serde_json::Value]) -> Option<ListedRun> {
+fn parse_listed_run(row: &[serde_json::Value]) -> Option<ListedRun> {
     Some(ListedRun {
-        task: read_task_name(row.first()?.as_str()?)?,
+        task: parse_task_name(row.first()?.as_str()?)?,
         number: u32::try_from(row.get(1)?.as_u64()?).ok()?,
     })
 }
 
 /// A row of number, task, run, and how it ended.
-fn listed_end(row: &[serde_json::Value]) -> Option<ListedEnd> {
+fn parse_listed_end(row: &[serde_json::Value]) -> Option<ListedEnd> {
     let end = match row.get(3)?.as_str()? {
         "done" => RunOutcome::Done,
         "failed" => RunOutcome::Failed,
@@ -264,7 +266,7 @@
     };
     Some(ListedEnd {
         sequence: row.first()?.as_u64()?,
-        task: read_task_name(row.get(1)?.as_str()?)?,
+        task: parse_task_name(row.get(1)?.as_str()?)?,
         number: u32::try_from(row.get(2)?.as_u64()?).ok()?,
         end,
     })
--- a/src/platform/job_body.rs
+++ b/src/platform/job_body.rs
@@ -53,7 +53,7 @@
 }
 
 /// Reads a job.
-pub(super) fn read_job(body: &[u8]) -> Result<JobRequest, PlatformError> {
+pub(super) fn parse_job(body: &[u8]) -> Result<JobRequest, PlatformError> {
     let body: JobBody = read_json(body)?;
     Ok(JobRequest {
         unsupported: unsupported(&body),
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -2,25 +2,25 @@
 //!
 //! Nothing in this folder decides, and nothing outside it knows the platform's names.
 
-mod client_calls;
+mod client_protocol;
 mod config_document;
 mod errors;
+mod http_worker_client;
 mod job_body;
 mod json;
-mod platform_caller;
+mod platform_http_client;
 mod rows_store;
-mod worker_calls;
 mod worker_reports;
 
 #[cfg(test)]
 mod tests;
 
 pub(crate) use {
-    client_calls::{ClientAction, PlatformClients},
-    config_document::read_config,
+    client_protocol::{ClientAction, ClientProtocol},
+    config_document::parse_config,
     errors::PlatformError,
-    platform_caller::PlatformCaller,
+    http_worker_client::HttpWorkerClient,
+    platform_http_client::PlatformHttpClient,
     rows_store::RowsStore,
-    worker_calls::HttpWorker,
-    worker_reports::{WorkerReport, read_worker_word},
+    worker_reports::{WorkerReport, parse_worker_report},
 };
--- a/src/platform/platform_caller.rs
+++ b/src/platform/platform_http_client.rs
@@ -18,11 +18,11 @@
 /// Time to connect, in milliseconds: a lost opening packet comes again after a second.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 /// Time after which an unused connection closes, in milliseconds; servers close theirs after 15 s.
-const IDLE_CLOSE_MS: u64 = 8_000;
+const IDLE_TIMEOUT_MS: u64 = 8_000;
 
 /// One call.
 #[derive(Debug)]
-pub(super) struct PlatformCall {
+pub(super) struct PlatformRequest {
     pub(super) method: Method,
     pub(super) to: SocketAddr,
     /// Path with its query.
@@ -36,11 +36,11 @@
 
 /// Calls by IP number, over connections that are kept.
 #[derive(Debug, Clone)]
-pub(crate) struct PlatformCaller {
+pub(crate) struct PlatformHttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl PlatformCaller {
+impl PlatformHttpClient {
     /// A client without connections.
     pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
@@ -48,7 +48,7 @@
         connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_millis(IDLE_CLOSE_MS))
+            .pool_idle_timeout(Duration::from_millis(IDLE_TIMEOUT_MS))
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
@@ -60,34 +60,34 @@
     /// taken for that of a later call.
     pub(super) async fn call(
         &self,
-        call: PlatformCall,
+        call: PlatformRequest,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let limit = Duration::from_millis(call.timeout_ms);
         let exchange = async {
             let response = self.send(call).await?;
             let status = response.status();
             let body = response.into_body().collect().await;
-            Ok((status, body.map_err(no_answer)?.to_bytes()))
+            Ok((status, body.map_err(no_response)?.to_bytes()))
         };
         timeout(limit, exchange).await.map_err(|_| timed_out())?
     }
 
     /// Makes a call whose answer may be long: its time-out ends with the head of the answer, and what follows is read
     /// for as long as it comes without a pause of `pause_ms`.
-    pub(super) async fn read(
+    pub(super) async fn call_streaming(
         &self,
-        call: PlatformCall,
-        pause_ms: u64,
+        call: PlatformRequest,
+        idle_timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let limit = Duration::from_millis(call.timeout_ms);
         let response = timeout(limit, self.send(call));
         let response = response.await.map_err(|_| timed_out())??;
         let status = response.status();
-        let body = read_long_body(response.into_body(), pause_ms).await;
-        Ok((status, body.map_err(no_answer)?))
+        let body = read_long_body(response.into_body(), idle_timeout_ms).await;
+        Ok((status, body.map_err(no_response)?))
     }
 
-    async fn send(&self, call: PlatformCall) -> Result<Response<Incoming>, PlatformError> {
+    async fn send(&self, call: PlatformRequest) -> Result<Response<Incoming>, PlatformError> {
         let mut request = Request::builder()
             .method(call.method)
             .uri(format!("http://{}{}", call.to, call.path));
@@ -102,16 +102,16 @@
             if error.is_connect() {
                 PlatformError::NoConnection(error.to_string())
             } else {
-                no_answer(error)
+                no_response(error)
             }
         })
     }
 }
 
-fn no_answer(error: impl ToString) -> PlatformError {
-    PlatformError::NoAnswer(error.to_string())
+fn no_response(error: impl ToString) -> PlatformError {
+    PlatformError::NoResponse(error.to_string())
 }
 
 fn timed_out() -> PlatformError {
-    no_answer("timed out")
+    no_response("timed out")
 }
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        PlatformCaller, PlatformError,
+        PlatformError, PlatformHttpClient,
         json::{read_json, write_json},
-        platform_caller::PlatformCall,
+        platform_http_client::PlatformRequest,
     },
     crate::{
         core::{document::Document, link::EvacuatedZones, work::WorkerView},
@@ -35,9 +35,9 @@
 /// Time for an answer to begin, in milliseconds; a slow store takes 50 times its usual 4.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// Time without a byte after which an answer that has begun is given up, in milliseconds.
-const BODY_PAUSE_MS: u64 = 1_000;
+const BODY_IDLE_TIMEOUT_MS: u64 = 1_000;
 /// Time beyond the asked wait after which a feed is given up, in milliseconds; as above.
-const FEED_SLACK_MS: u64 = 500;
+const FEED_TIMEOUT_MARGIN_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
 struct RowBody {
@@ -93,14 +93,14 @@
 /// The store at one address.
 #[derive(Debug)]
 pub(crate) struct RowsStore {
-    caller: PlatformCaller,
+    client: PlatformHttpClient,
     addr: SocketAddr,
 }
 
 impl RowsStore {
     /// The store that listens there.
-    pub(crate) const fn new(caller: PlatformCaller, addr: SocketAddr) -> Self {
-        Self { caller, addr }
+    pub(crate) const fn new(client: PlatformHttpClient, addr: SocketAddr) -> Self {
+        Self { client, addr }
     }
 
     async fn get(
@@ -108,7 +108,7 @@
         path: String,
         timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let call = PlatformCall {
+        let call = PlatformRequest {
             method: Method::GET,
             to: self.addr,
             path,
@@ -116,11 +116,15 @@
             body: Vec::new(),
             timeout_ms,
         };
-        self.caller.read(call, BODY_PAUSE_MS).await
+        self.client.call_streaming(call, BODY_IDLE_TIMEOUT_MS).await
     }
 
     /// All rows of one part of a table, and the store's version.
-    async fn rows(&self, table: &str, part: &str) -> Result<(Vec<RowBody>, u64), PlatformError> {
+    async fn read_rows(
+        &self,
+        table: &str,
+        part: &str,
+    ) -> Result<(Vec<RowBody>, u64), PlatformError> {
         let mut rows: Vec<RowBody> = Vec::new();
         let mut from = String::new();
         let mut version = None;
@@ -128,7 +132,7 @@
             let path = format!("/v1/rows-get?table={table}&part={part}{from}");
             let (status, body) = self.get(path, CALL_TIMEOUT_MS).await?;
             if status != StatusCode::OK {
-                return Err(PlatformError::Refused(status));
+                return Err(PlatformError::Rejected(status));
             }
             let page: RowsBody = read_json(&body)?;
             rows.extend(page.rows);
@@ -144,28 +148,28 @@
     }
 
     /// The rows of a table that changed after a version, and the store's version; none where they are no longer known.
-    async fn changes(
+    async fn wait_for_changes(
         &self,
         table: &str,
         after: u64,
         wait_ms: u64,
     ) -> Result<Option<RowsBody>, PlatformError> {
         let path = format!("/v1/rows-feed?table={table}&after={after}&wait_ms={wait_ms}");
-        let (status, body) = self.get(path, wait_ms + FEED_SLACK_MS).await?;
+        let (status, body) = self.get(path, wait_ms + FEED_TIMEOUT_MARGIN_MS).await?;
         match status {
             StatusCode::OK => {
                 let page: RowsBody = read_json(&body)?;
                 Ok((!page.truncated).then_some(page))
             }
             StatusCode::GONE => Ok(None),
-            status => Err(PlatformError::Refused(status)),
+            status => Err(PlatformError::Rejected(status)),
         }
     }
 
     /// Applies a transaction; the version that it made, or `None` where a row had another version than expected.
     async fn transact(&self, body: &TransactionBody<'_>) -> Result<Option<u64>, PlatformError> {
         let body = write_json(body)?;
-        let call = PlatformCall {
+        let call = PlatformRequest {
             method: Method::POST,
             to: self.addr,
             path: "/v1/rows-tx".to_owned(),
@@ -173,50 +177,50 @@
             body,
             timeout_ms: CALL_TIMEOUT_MS,
         };
-        match self.caller.call(call).await? {
+        match self.client.call(call).await? {
             (StatusCode::OK, body) => Ok(Some(read_json::<RowsBody>(&body)?.ver)),
             (StatusCode::PRECONDITION_FAILED, _) => Ok(None),
-            (status, _) => Err(PlatformError::Refused(status)),
+            (status, _) => Err(PlatformError::Rejected(status)),
         }
     }
 }
 
 /// The operators' rows of a page.
 #[derive(Debug, Default)]
-struct OperatorRowsBody {
+struct OperatorRowsPage {
     /// Zones that the page names, and whether they are out.
     zones: BTreeMap<String, bool>,
     document: Option<Document>,
 }
 
-impl OperatorRowsBody {
+impl OperatorRowsPage {
     /// Reads rows in order; a later one of the same key counts.
-    fn read(rows: &[RowBody]) -> Result<Self, PlatformError> {
-        let mut read = Self::default();
+    fn parse(rows: &[RowBody]) -> Result<Self, PlatformError> {
+        let mut page = Self::default();
         for row in rows {
             if let Some(zone) = row.key.strip_prefix(EVACUATE_PREFIX) {
-                read.zones.insert(zone.to_owned(), !row.deleted);
+                page.zones.insert(zone.to_owned(), !row.deleted);
             } else if row.key == CONFIG_KEY && !row.deleted {
-                read.document = Some(Document {
+                page.document = Some(Document {
                     revision: row.ver,
                     text: Arc::from(decode(row)?),
                 });
             }
         }
-        Ok(read)
+        Ok(page)
     }
 }
 
 fn decode(row: &RowBody) -> Result<Vec<u8>, PlatformError> {
     let value = STANDARD.decode(&row.value);
-    value.map_err(|error| PlatformError::Unreadable(error.to_string()))
+    value.map_err(|error| PlatformError::Malformed(error.to_string()))
 }
 
 #[async_trait]
 impl SiteStore for RowsStore {
     async fn read_operator_rows(&self) -> Result<OperatorRows, StoreError> {
-        let (rows, version) = self.rows(OPERATORS_TABLE, "").await?;
-        let changed = OperatorRowsBody::read(&rows)?;
+        let (rows, version) = self.read_rows(OPERATORS_TABLE, "").await?;
+        let changed = OperatorRowsPage::parse(&rows)?;
         let zones = changed.zones.into_iter();
         Ok(OperatorRows {
             zones: EvacuatedZones {
@@ -235,14 +239,17 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<OperatorChange, StoreError> {
-        let Some(page) = self.changes(OPERATORS_TABLE, after, wait_ms).await? else {
+        let Some(page) = self
+            .wait_for_changes(OPERATORS_TABLE, after, wait_ms)
+            .await?
+        else {
             return Ok(OperatorChange::Forgotten);
         };
         let version = page.ver;
         if page.rows.is_empty() {
             return Ok(OperatorChange::None { version });
         }
-        let OperatorRowsBody { zones, document } = OperatorRowsBody::read(&page.rows)?;
+        let OperatorRowsPage { zones, document } = OperatorRowsPage::parse(&page.rows)?;
         Ok(OperatorChange::Rows {
             version,
             zones,
@@ -252,10 +259,10 @@
 
     async fn read_entries(
         &self,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
     ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
-        let part = copy.number().to_string();
-        let (rows, version) = self.rows(ENTRIES_TABLE, &part).await?;
+        let part = replica.number().to_string();
+        let (rows, version) = self.read_rows(ENTRIES_TABLE, &part).await?;
         let entries = rows.iter().filter_map(|row| row.key.parse().ok());
         Ok((entries.collect(), version))
     }
@@ -265,7 +272,7 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<EntryListChange, StoreError> {
-        let page = self.changes(ENTRIES_TABLE, after, wait_ms).await?;
+        let page = self.wait_for_changes(ENTRIES_TABLE, after, wait_ms).await?;
         let unchanged = page.filter(|page| page.rows.is_empty());
         Ok(
             unchanged.map_or(EntryListChange::Some, |page| EntryListChange::None {
@@ -277,9 +284,9 @@
     async fn add_entry(
         &self,
         entry: SocketAddr,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
     ) -> Result<u64, StoreError> {
-        let (key, part) = (entry.to_string(), copy.number().to_string());
+        let (key, part) = (entry.to_string(), replica.number().to_string());
         let put = PutRow {
             row: entry_row(&key, &part),
             value: String::new(),
@@ -290,17 +297,17 @@
         };
         let version = self.transact(&body).await?;
         // Without an expected version there is nothing that could fail it.
-        let conflict = || PlatformError::Refused(StatusCode::PRECONDITION_FAILED);
+        let conflict = || PlatformError::Rejected(StatusCode::PRECONDITION_FAILED);
         Ok(version.ok_or_else(conflict)?)
     }
 
     async fn remove_entry(
         &self,
         entry: SocketAddr,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
         version: u64,
     ) -> Result<(), StoreError> {
-        let (key, part) = (entry.to_string(), copy.number().to_string());
+        let (key, part) = (entry.to_string(), replica.number().to_string());
         let row = entry_row(&key, &part);
         let body = TransactionBody {
             expect_rev: vec![ExpectedRow { row, ver: version }],
@@ -313,7 +320,7 @@
     }
 
     async fn read_worker(&self, agent: &str) -> Result<Option<WorkerView>, StoreError> {
-        let (rows, _) = self.rows(WORKERS_TABLE, agent).await?;
+        let (rows, _) = self.read_rows(WORKERS_TABLE, agent).await?;
         let Some(row) = rows.first() else {
             return Ok(None);
         };
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        PlatformCaller, RowsStore, WorkerReport, job_body::read_job, read_config, read_worker_word,
+        PlatformHttpClient, RowsStore, WorkerReport, job_body::parse_job, parse_config,
+        parse_worker_report,
     },
     crate::{
         core::{document::Document, work::UnsupportedFeature},
@@ -27,14 +28,14 @@
     })
 }
 
-fn read_heartbeat(body: &[u8]) -> Option<WorkerReport> {
-    read_worker_word(HEARTBEAT, body)?.ok()
+fn parse_heartbeat(body: &[u8]) -> Option<WorkerReport> {
+    parse_worker_report(HEARTBEAT, body)?.ok()
 }
 
 #[test]
-fn a_heartbeat_tells_room_labels_and_life() {
+fn a_heartbeat_is_parsed_completely() {
     let body = heartbeat().to_string();
-    let Some(WorkerReport::Heartbeat { view, sequence }) = read_heartbeat(body.as_bytes()) else {
+    let Some(WorkerReport::Heartbeat { view, sequence }) = parse_heartbeat(body.as_bytes()) else {
         panic!("a heartbeat");
     };
     assert_eq!(sequence, 4);
@@ -48,7 +49,7 @@
 
 /// Another writer's entry looks like a heartbeat and isn't one. Taken for a worker, it would be sent tasks that
 /// nobody runs.
-macro_rules! damaged_heartbeats {
+macro_rules! invalid_heartbeats {
     ($($name:ident: $damage:expr;)+) => {
         $(
             #[test]
@@ -56,24 +57,24 @@
                 let mut body = heartbeat();
                 let damage: fn(&mut Value) = $damage;
                 damage(&mut body);
-                assert_eq!(read_heartbeat(body.to_string().as_bytes()), None);
+                assert_eq!(parse_heartbeat(body.to_string().as_bytes()), None);
             }
         )+
     };
 }
 
-damaged_heartbeats! {
-    a_state_that_is_unknown_names_no_worker: |body| body["state"] = json!("resting");
-    a_capacity_that_is_text_names_no_worker: |body| body["capacity"]["cpu"] = json!("much");
-    a_missing_zone_names_no_worker: |body| body["zone"] = Value::Null;
-    a_negative_sequence_names_no_worker: |body| body["seq"] = json!(-1);
-    a_birth_that_is_a_fraction_names_no_worker: |body| body["born"] = json!(1.5);
-    a_body_that_is_a_list_names_no_worker: |body| *body = json!([1, 2]);
+invalid_heartbeats! {
+    an_unknown_state_is_rejected: |body| body["state"] = json!("resting");
+    a_capacity_that_is_text_is_rejected: |body| body["capacity"]["cpu"] = json!("much");
+    a_missing_zone_is_rejected: |body| body["zone"] = Value::Null;
+    a_negative_sequence_is_rejected: |body| body["seq"] = json!(-1);
+    a_fractional_start_time_is_rejected: |body| body["born"] = json!(1.5);
+    a_body_that_is_a_list_is_rejected: |body| *body = json!([1, 2]);
 }
 
 #[test]
-fn bytes_that_are_no_text_name_no_worker() {
-    assert_eq!(read_heartbeat(&[0xff, 0xfe, 0x00]), None);
+fn bytes_that_are_not_utf8_are_rejected() {
+    assert_eq!(parse_heartbeat(&[0xff, 0xfe, 0x00]), None);
 }
 
 macro_rules! unsupported_jobs {
@@ -84,7 +85,7 @@
                 let mut body = json!({"spec": "x", "best_effort": true, "steps": [{"count": 2, "cpu": 500}]});
                 let change: fn(&mut Value) = $change;
                 change(&mut body);
-                let job = read_job(body.to_string().as_bytes()).expect("a job");
+                let job = parse_job(body.to_string().as_bytes()).expect("a job");
                 assert_eq!(job.unsupported, $feature);
             }
         )+
@@ -92,19 +93,19 @@
 }
 
 unsupported_jobs! {
-    a_job_of_best_effort_is_supported: |_| {} => None;
-    a_job_that_is_to_be_kept_is_told_apart: |body| body["best_effort"] = json!(false) =>
+    a_best_effort_job_is_supported: |_| {} => None;
+    a_durable_job_is_unsupported: |body| body["best_effort"] = json!(false) =>
         Some(UnsupportedFeature::Durable);
-    a_gang_is_told_apart: |body| body["steps"][0]["gang"] = json!(true) => Some(UnsupportedFeature::Gang);
-    a_recurring_job_is_told_apart: |body| body["run_count"] = json!(3) => Some(UnsupportedFeature::Recurring);
-    a_lasting_job_is_told_apart: |body| body["long_running"] = json!(true) =>
+    a_gang_is_unsupported: |body| body["steps"][0]["gang"] = json!(true) => Some(UnsupportedFeature::Gang);
+    a_recurring_job_is_unsupported: |body| body["run_count"] = json!(3) => Some(UnsupportedFeature::Recurring);
+    a_long_running_job_is_unsupported: |body| body["long_running"] = json!(true) =>
         Some(UnsupportedFeature::LongRunning);
 }
 
 /// Operators add fields that this version does not know. The document is read all the same; without its version
 /// it is refused, and the one before stays in force.
 #[test]
-fn a_document_may_hold_fields_that_are_not_known() {
+fn unknown_fields_of_a_document_are_ignored() {
     let stored = |document: &Value| Document {
         revision: 9,
         text: Arc::from(document.to_string().into_bytes()),
@@ -113,15 +114,15 @@
         "version": 12, "colour": "blue",
         "routes": [{"name": "r", "host": "a.example", "path_prefix": "/r/", "service": "shares", "new": [1]}]
     });
-    let config = read_config(&stored(&document)).expect("a document");
+    let config = parse_config(&stored(&document)).expect("a document");
     assert_eq!((config.version, config.routes.len()), (12, 1));
     document["version"] = json!("twelve");
-    assert!(read_config(&stored(&document)).is_err());
+    assert!(parse_config(&stored(&document)).is_err());
 }
 
 /// Guards against an answer that is given up while it arrives: a large document over a link that others use, too.
 #[tokio::test]
-async fn rows_that_arrive_slowly_are_read_to_their_end() {
+async fn a_slow_response_body_is_read_completely() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let addr = listener.local_addr().expect("address");
     let document = json!({"version": 3, "padding": "x".repeat(10_000)}).to_string();
@@ -139,7 +140,7 @@
             socket.write_all(part).await.expect("part");
         }
     });
-    let store = RowsStore::new(PlatformCaller::new(), addr);
+    let store = RowsStore::new(PlatformHttpClient::new(), addr);
     let rows = store.read_operator_rows().await.expect("rows");
     let text = rows.document.expect("a document").text;
     assert_eq!(&*text, document.as_bytes());
--- a/src/platform/worker_reports.rs
+++ b/src/platform/worker_reports.rs
@@ -56,7 +56,7 @@
 }
 
 /// Reads a call from the worker; `None` if the path is another one.
-pub(crate) fn read_worker_word(
+pub(crate) fn parse_worker_report(
     path: &str,
     body: &[u8],
 ) -> Option<Result<WorkerReport, PlatformError>> {
@@ -66,10 +66,10 @@
         }));
     }
     let worker = path.strip_prefix(HEARTBEAT_PATH)?;
-    Some(read_heartbeat(worker, body))
+    Some(parse_heartbeat(worker, body))
 }
 
-fn read_heartbeat(worker: &str, body: &[u8]) -> Result<WorkerReport, PlatformError> {
+fn parse_heartbeat(worker: &str, body: &[u8]) -> Result<WorkerReport, PlatformError> {
     let body: HeartbeatBody = read_json(body)?;
     let view = WorkerView {
         life: WorkerIncarnation {
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -18,7 +18,7 @@
             execution::{ExecutionEvent, Executor, ExecutorSettings},
             work::WorkerView,
         },
-        platform::HttpWorker,
+        platform::HttpWorkerClient,
         site_entry::{ProcessLogEvent, SiteProcess},
     },
     std::{
@@ -60,7 +60,7 @@
         });
         ExecutionLoop {
             executor,
-            worker: Arc::new(HttpWorker::new(
+            worker: Arc::new(HttpWorkerClient::new(
                 self.process.caller.clone(),
                 settings.worker,
             )),
--- a/src/site_agent/worker_ear.rs
+++ b/src/site_agent/worker_ear.rs
@@ -5,7 +5,7 @@
     crate::{
         adapters::http::{HttpHandler, HttpRequest, HttpResponse},
         core::execution::ExecutionEvent,
-        platform::{WorkerReport, read_worker_word},
+        platform::{WorkerReport, parse_worker_report},
         ports::{Counter, Metrics},
     },
     async_trait::async_trait,
@@ -24,7 +24,7 @@
 #[async_trait]
 impl HttpHandler for WorkerEar {
     async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        let word = match read_worker_word(&call.path, &call.body) {
+        let word = match parse_worker_report(&call.path, &call.body) {
             None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
--- a/src/site_entry/front.rs
+++ b/src/site_entry/front.rs
@@ -11,7 +11,7 @@
             routes::{HttpLimits, Route},
             work::JobId,
         },
-        platform::{ClientAction, PlatformClients},
+        platform::{ClientAction, ClientProtocol},
         ports::{Counter, DecisionLog, LogPriority, Metrics, log_decision},
     },
     async_trait::async_trait,
@@ -58,12 +58,12 @@
 
 impl Front {
     async fn submit(&self, call: &HttpRequest, id: JobId, route: &Route) -> HttpResponse {
-        let request = match PlatformClients::job(call) {
+        let request = match ClientProtocol::parse_job(call) {
             Ok(request) => request,
             Err(error) => {
                 log::info!(job:% = id, error:% = error; "a job can't be read");
                 self.turn_away(call, RefusalReason::BadJob.as_str());
-                return PlatformClients::bad_request();
+                return ClientProtocol::bad_request();
             }
         };
         if let Some(feature) = request.unsupported {
@@ -76,7 +76,7 @@
             id,
             request,
             route: Arc::new(route.clone()),
-            time_left_ms: PlatformClients::time_left_ms(call).unwrap_or(route.timeout_ms),
+            time_left_ms: ClientProtocol::time_left_ms(call).unwrap_or(route.timeout_ms),
         };
         let mut guard = GoneGuard {
             waiter,
@@ -86,14 +86,14 @@
         let sent = self.inputs.send(LoopInput::Submit { submission, answer });
         if sent.is_err() {
             log::warn!(job:% = id; "the dispatcher has ended");
-            return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
+            return ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS);
         }
         match answered.await {
             Ok(answer) => {
                 guard.answered = true;
-                PlatformClients::answer(answer)
+                ClientProtocol::outcome_response(answer)
             }
-            Err(_) => PlatformClients::answer(JobOutcome::GivenUp(GiveUpReason::Isolated)),
+            Err(_) => ClientProtocol::outcome_response(JobOutcome::GivenUp(GiveUpReason::Isolated)),
         }
     }
 
@@ -113,26 +113,26 @@
         let route = route.name.clone();
         let sent = self.inputs.send(LoopInput::CountPending { route, count });
         match (sent, counted.await) {
-            (Ok(()), Ok(jobs)) => PlatformClients::pending(jobs),
-            _ => PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS),
+            (Ok(()), Ok(jobs)) => ClientProtocol::pending(jobs),
+            _ => ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS),
         }
     }
 
     async fn answer_call(&self, call: &HttpRequest) -> HttpResponse {
         let Some(config) = self.state.config() else {
             self.turn_away(call, "no_configuration");
-            return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
+            return ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS);
         };
         let Some(route) = config.routes.find(&call.host, &call.path) else {
             self.turn_away(call, "no_route");
-            return PlatformClients::no_route();
+            return ClientProtocol::no_route();
         };
         let rest = call.path.get(route.path_prefix.len()..).unwrap_or_default();
-        match PlatformClients::action(&call.method, rest) {
+        match ClientProtocol::parse_action(&call.method, rest) {
             ClientAction::Submit(id) => self.submit(call, id, route).await,
-            ClientAction::Status(_) | ClientAction::Cancel(_) => PlatformClients::no_job(),
+            ClientAction::Status(_) | ClientAction::Cancel(_) => ClientProtocol::no_job(),
             ClientAction::Pending => self.pending(route).await,
-            ClientAction::Unknown => PlatformClients::bad_request(),
+            ClientAction::Unknown => ClientProtocol::bad_request(),
         }
     }
 }
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -10,7 +10,7 @@
         core::{
             dispatch::DispatchEvent, document::Document, link::EvacuatedZones, routes::SiteConfig,
         },
-        platform::read_config,
+        platform::parse_config,
         ports::{
             Counter, DecisionLog, FeedCursor, LogPriority, Metrics, OperatorChange, OperatorRows,
             SiteStore, log_decision,
@@ -169,7 +169,7 @@
             return;
         }
         known.revision = document.revision;
-        match read_config(&document) {
+        match parse_config(&document) {
             Ok(config) => self.put_in_force(config, document.revision, source),
             Err(error) => {
                 let cause = error.to_string();
--- a/src/site_entry/site_process.rs
+++ b/src/site_entry/site_process.rs
@@ -10,7 +10,7 @@
         },
         cli::{RunError, listen},
         conf::SiteSettings,
-        platform::{PlatformCaller, RowsStore},
+        platform::{PlatformHttpClient, RowsStore},
         ports::{DecisionLog, LogPriority, Metrics, SiteStore, log_decision},
     },
     std::sync::Arc,
@@ -20,7 +20,7 @@
 /// Where a process counts and writes down what it does, and how it reaches the platform.
 #[derive(Debug)]
 pub(crate) struct SiteProcess {
-    pub(crate) caller: PlatformCaller,
+    pub(crate) caller: PlatformHttpClient,
     pub(crate) store: Arc<dyn SiteStore>,
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) decisions: Arc<dyn DecisionLog>,
@@ -31,7 +31,7 @@
     pub(crate) fn new(site: &SiteSettings) -> Result<Self, RunError> {
         let metrics = OtelMetrics::new().map_err(RunError::metrics)?;
         let writer = DecisionWriter::start(&site.name).map_err(RunError::Runtime)?;
-        let caller = PlatformCaller::new();
+        let caller = PlatformHttpClient::new();
         Ok(Self {
             store: Arc::new(RowsStore::new(caller.clone(), site.store)),
             caller,
