--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -1,5 +1,5 @@
-//! Decides what becomes of a change, section by section: a three-way merge of what the operator
-//! started from, what the operator wants and what is in force now.
+//! Three-way merge of a configuration change by section: the operator's base version, the proposed
+//! document and the document in force.
 
 use {
     super::{Head, SECTIONS, SectionHead},
@@ -10,51 +10,50 @@
 /// One section of one document.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct SectionState<M> {
-    /// What the section says; compared to find changes.
+    /// The parsed section; compared to detect changes.
     pub(crate) value: M,
     /// The section's text with its comments.
     pub(crate) text: String,
 }
 
-/// The sections of one document; one that isn't listed is empty.
+/// The sections of one document; a missing one is empty.
 pub(crate) type Sections<M> = BTreeMap<&'static str, SectionState<M>>;
 
-/// The versions that an operator's document was made from, by section; zero if not listed.
+/// The versions that the proposed document is based on, by section; a missing one is zero.
 pub(crate) type BasedOn = BTreeMap<&'static str, u64>;
 
-/// A section that someone else changed since.
+/// A section that another operator changed after the base version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct SectionConflict {
-    /// The section.
     pub(crate) section: &'static str,
-    /// The version that the operator's document was made from.
+    /// The version that the proposed document is based on.
     pub(crate) based_on: u64,
-    /// Who changed it since, when and in which version.
+    /// The latest change of the section.
     #[serde(flatten)]
     pub(crate) changed: SectionHead,
 }
 
-/// Why a change can't be made.
+/// Why a change is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ChangeRejection {
     /// The operator may not change this section.
     Forbidden(&'static str),
-    /// Others changed these sections since, to something else.
+    /// Other operators changed these sections after the base version, to different values.
     Conflict(Vec<SectionConflict>),
 }
 
-/// What the plan is made from.
+/// Input of the merge.
 #[derive(Debug)]
 pub(crate) struct ChangeInput<'a, M> {
-    /// The versions that the operator's document was made from.
+    /// The versions that the proposed document is based on.
     pub(crate) based_on: &'a BasedOn,
-    /// The operator's document.
+    /// The document that the operator submitted.
     pub(crate) proposed: &'a Sections<M>,
     /// The document in force.
     pub(crate) current: &'a Sections<M>,
     /// The head in force.
     pub(crate) head: &'a Head,
-    /// Sections that the operator may change.
+    /// The sections that the operator may change.
     pub(crate) owned: &'a [String],
 }
 
@@ -66,8 +65,8 @@
 }
 
 impl<M: Default + PartialEq> ChangeInput<'_, M> {
-    /// The sections whose text at `based_on` is needed to decide: they have been changed since,
-    /// and the operator's document says something else than the one in force.
+    /// Returns the sections whose base text [`plan`](Self::plan) needs: they changed after the base
+    /// version, and the proposed value differs from the one in force.
     pub(crate) fn bases_needed(&self) -> Vec<(&'static str, u64)> {
         SECTIONS
             .into_iter()
@@ -76,7 +75,7 @@
             .collect()
     }
 
-    /// The sections to take from the operator's document; all others stay as they are in force.
+    /// Returns the sections to replace by the proposed ones; all others stay as they are in force.
     pub(crate) fn plan(&self, bases: &Sections<M>) -> Result<Vec<&'static str>, ChangeRejection> {
         let mut applied = Vec::new();
         let mut conflicts = Vec::new();
@@ -98,7 +97,7 @@
         let changed_since = self.changed_since(section);
         let owned = self.owned.iter().any(|own| own == section);
         if self.matches_current(section) {
-            // Only comments can differ; who doesn't own the section leaves them alone.
+            // Only comments can differ; those of a section that the operator doesn't own stay.
             let comments = text(self.proposed, section) != text(self.current, section);
             return if comments && owned && !changed_since {
                 Resolution::Apply
@@ -107,7 +106,7 @@
             };
         }
         if changed_since && same_value(self.proposed, bases, section) {
-            // Someone else changed it, this operator did not.
+            // Another operator changed the section, this one didn't.
             return Resolution::Keep;
         }
         match (owned, changed_since) {
--- a/src/core/config/difference.rs
+++ b/src/core/config/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, in words that an operator uses.
+//! Differences between two documents, described for operators.
 
 use {
     super::{Document, Quota, Service, Worker, Zone, ZoneState},
@@ -6,33 +6,33 @@
     std::collections::BTreeMap,
 };
 
-/// One thing that differs.
+/// One item that differs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct Difference {
-    /// The section that it stands in.
+    /// The section of the item.
     pub(crate) section: &'static str,
     /// The name of the worker, service, availability zone or team.
     pub(crate) name: String,
-    /// The difference, such as "availability zone keflavik: open -> out".
+    /// The description, such as "availability zone keflavik: open -> out".
     pub(crate) words: String,
 }
 
-/// A named thing of the document.
+/// A named item of the document.
 trait DocumentItem {
-    /// The section that holds things of this kind.
+    /// The section that holds items of this type.
     const SECTION: &'static str;
-    /// What operators call it.
+    /// The operators' name for the type of item.
     const KIND: &'static str;
 
-    /// All of it, for one that is added.
+    /// Describes an added item.
     fn summary(&self) -> String;
 
-    /// Its fields in order: name (empty for the main one) and value.
+    /// Returns names and values of the fields; the main field has an empty name.
     fn fields(&self) -> Vec<(&'static str, String)>;
 }
 
 impl Document {
-    /// What would change if `other` came into force in place of this document.
+    /// Returns what changes when `other` replaces this document.
     pub(crate) fn differences(&self, other: &Self) -> Vec<Difference> {
         let mut differences = compare(&self.workers, &other.workers);
         differences.extend(compare(&self.services, &other.services));
@@ -177,7 +177,7 @@
 }
 
 impl ZoneState {
-    /// The word that the document and operators use.
+    /// The name in the document and in messages to operators.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
--- a/src/core/config/document.rs
+++ b/src/core/config/document.rs
@@ -1,70 +1,65 @@
-//! The configuration as the system uses it.
+//! The parsed configuration document.
 
 use std::collections::BTreeMap;
 
-/// The document's sections, each owned by another team.
+/// The sections of the document; each team may own different ones.
 pub(crate) const SECTIONS: [&str; 4] = ["capacity", "services", "zones", "quotas"];
 
-/// A worker, present or declared ahead of its arrival.
+/// A declared worker, installed or not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Worker {
-    /// The availability zone that it stands in.
     pub(crate) availability_zone: String,
-    /// The rack that it shares power and switch with.
+    /// Workers of one rack share power and a network switch.
     pub(crate) rack: String,
-    /// Tasks that it runs at a time.
+    /// Maximum number of concurrent tasks.
     pub(crate) slots: u16,
-    /// Memory for tasks.
+    /// Memory available to tasks.
     pub(crate) memory_mb: u32,
-    /// Accelerators for tasks.
+    /// Accelerators available to tasks.
     pub(crate) accelerators: u16,
-    /// Whether it stands in its rack; one that doesn't counts as declared, not as present.
+    /// Whether the worker is installed in its rack.
     pub(crate) arrived: bool,
 }
 
 /// A service that clients submit to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Service {
-    /// Where it may run.
+    /// The zones in which its tasks may run.
     pub(crate) availability_zones: Vec<String>,
-    /// Deadline of requests that name none.
+    /// Deadline of requests that specify none.
     pub(crate) default_deadline_ms: u64,
-    /// Whether its requests may run more than once unless they say otherwise.
+    /// Whether a request may run more than once if it doesn't specify this.
     pub(crate) repeatable: bool,
-    /// Memory of a task that declares none.
+    /// Memory of a task that specifies none.
     pub(crate) memory_mb: u32,
-    /// Accelerators of a task that declares none.
+    /// Accelerators of a task that specifies none.
     pub(crate) accelerators: u16,
-    /// Most tasks of one job.
+    /// Maximum number of tasks in one job.
     pub(crate) max_tasks: usize,
 }
 
 /// Whether tasks may start in an availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ZoneState {
-    /// Tasks may start.
     Open,
-    /// No task may start.
+    /// Out of service: no task may start.
     Out,
 }
 
-/// An availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Zone {
-    /// The region that it belongs to.
     pub(crate) region: String,
-    /// Whether tasks may start there.
     pub(crate) state: ZoneState,
 }
 
-/// What a team may draw.
+/// The quota of a team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Quota {
-    /// Slots that the team may hold at a time.
+    /// Maximum number of slots in use at a time.
     pub(crate) slots: u32,
 }
 
-/// The whole configuration.
+/// The complete configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Document {
     /// Section `capacity`: workers by name.
@@ -78,14 +73,14 @@
 }
 
 impl Document {
-    /// Whether tasks may start in this availability zone.
+    /// Whether tasks may start in the availability zone.
     pub(crate) fn zone_is_open(&self, availability_zone: &str) -> bool {
         self.zones
             .get(availability_zone)
             .is_some_and(|zone| zone.state == ZoneState::Open)
     }
 
-    /// Whether tasks may start at this worker: it is declared in this zone, and the zone is open.
+    /// Whether tasks may start at the worker: it is declared in this zone, and the zone is open.
     pub(crate) fn worker_is_open(&self, worker: &str, availability_zone: &str) -> bool {
         let declared = self
             .workers
@@ -102,7 +97,7 @@
             .map(|(name, _)| name)
     }
 
-    /// The slots of all declared workers.
+    /// The total slots of all declared workers.
     pub(crate) fn declared_slots(&self) -> u64 {
         self.workers
             .values()
@@ -110,7 +105,7 @@
             .sum()
     }
 
-    /// This document with one section alone.
+    /// Returns a document that contains only the given section.
     pub(crate) fn only_section(&self, section: &str) -> Self {
         let mut document = Self::default();
         match section {
--- a/src/core/config/tests.rs
+++ b/src/core/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the plan of a change against a naive model, and of differences in words.
+//! Tests of the merge against a reference model, and of the descriptions of differences.
 
 use {
     super::{
@@ -19,19 +19,19 @@
     }
 }
 
-/// A change as a generated operator asks for it.
+/// A randomly generated change request.
 #[derive(Debug, Clone)]
 struct GeneratedChange {
-    /// Which of the earlier versions it is based on, as a share of their number.
+    /// Position of the base version in the history, in percent.
     base_percent: usize,
-    /// What each section is set to; `None` leaves it as it was at the base.
+    /// New value of each section; `None` leaves it as in the base version.
     values: [Option<u8>; 4],
-    /// Whether each section's comments are changed.
+    /// Whether the comments of each section change.
     comments: [bool; 4],
     owned: [bool; 4],
 }
 
-/// One version as the model keeps it: value, comment and who changed what.
+/// One version in the reference model.
 #[derive(Debug, Clone, Default)]
 struct Version {
     values: [u8; 4],
@@ -80,14 +80,14 @@
     head
 }
 
-/// The rules, said plainly: walks the whole history for each section.
+/// Reference implementation of the merge; scans the complete history for each section.
 fn expected_plan(
     history: &[Version],
     base: usize,
     proposed: &Version,
     owned: [bool; 4],
 ) -> Result<[bool; 4], String> {
-    let current = history.last().expect("a version");
+    let current = history.last().expect("non-empty history");
     let mut applied = [false; 4];
     let mut conflicts = Vec::new();
     for index in 0..4 {
@@ -98,7 +98,7 @@
         if same_as_current {
             applied[index] = !changed_since && owned[index] && comment_differs;
         } else if changed_since && !proposal_changed {
-            // Theirs stays.
+            // The section stays as the other operator changed it.
         } else if !owned[index] {
             return Err(format!("forbidden {}", SECTIONS[index]));
         } else if changed_since {
@@ -126,7 +126,7 @@
         .collect();
     let (proposed, current) = (
         sections(proposed),
-        sections(history.last().expect("a version")),
+        sections(history.last().expect("non-empty history")),
     );
     let head = head(history);
     let input = ChangeInput {
@@ -156,8 +156,8 @@
     }
 }
 
-/// Operators change sections from old and new versions, in any order. What the plan decides is
-/// what the naive rules decide; a change that lands alters its own sections and no other.
+/// Merges changes with random base versions; an applied change may only alter the sections that the
+/// reference rules allow.
 #[test]
 fn the_plan_matches_the_reference_rules() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
@@ -181,7 +181,7 @@
                     &expected
                 );
                 let Ok(applied) = expected else { continue };
-                let mut next = history.last().expect("a version").clone();
+                let mut next = history.last().expect("non-empty history").clone();
                 next.changed = applied;
                 for index in (0..4).filter(|index| applied[*index]) {
                     next.values[index] = proposed.values[index];
@@ -193,7 +193,7 @@
             }
             Ok(())
         })
-        .expect("the plan follows the rules");
+        .expect("the plan matches the reference rules");
 }
 
 #[test]
--- a/src/core/directory/digest_log.rs
+++ b/src/core/directory/digest_log.rs
@@ -1,4 +1,4 @@
-//! What this entry has told the others about the agents that it hears.
+//! Tracks which agent state the other entries have confirmed, to send them only changes.
 
 use {
     super::Directory,
@@ -13,27 +13,28 @@
 /// What one other entry has confirmed.
 #[derive(Debug, Default)]
 struct PeerDigestState {
-    /// Agents heard up to here have been told.
+    /// Announcements received up to this time are confirmed.
     confirmed_through: Option<Instant>,
-    /// The newest statement of each agent that it has.
+    /// The confirmed content version of each agent.
     content_versions: BTreeMap<AgentId, u64>,
 }
 
-/// The part of a digest that is about agents.
+/// The agents' part of a digest.
 #[derive(Debug, Default)]
 pub(crate) struct AgentDigest {
     pub(crate) reports: Vec<AgentReport>,
     pub(crate) heartbeats: Vec<AgentHeartbeat>,
-    /// The statements that the receiver has once it confirms.
+    /// The content versions of `reports`.
     content_versions: Vec<(AgentId, u64)>,
-    /// Up to when agents were looked at.
+    /// When the digest was built.
     as_of: Instant,
 }
 
-/// Says each agent's whole announcement once to each entry, and after that only that it was heard.
+/// Builds digests that report an agent in full once, and by a heartbeat while its content is
+/// unchanged.
 ///
-/// With whole announcements every second, 1,500 agents would cost each entry about nine times
-/// the 21 KB/s that it may spend; `docs/design/membership.md` has the sums.
+/// Full reports every second would exceed an entry's bandwidth limit by far;
+/// `docs/design/membership.md` has the calculation.
 #[derive(Debug, Default)]
 pub(crate) struct DigestLog {
     next_index: u32,
@@ -42,7 +43,7 @@
 }
 
 impl DigestLog {
-    /// What to tell an entry now.
+    /// Builds the digest of agents that announced themselves since the last confirmed digest.
     pub(crate) fn build_digest(
         &mut self,
         now: Instant,
@@ -80,7 +81,7 @@
         digest
     }
 
-    /// The entry has what it was told, but for agents whose numbers it doesn't know.
+    /// Records that an entry received a digest, except for the agents with `unknown` indices.
     pub(crate) fn confirm(&mut self, peer: AgentId, digest: &AgentDigest, unknown: &[u32]) {
         let state = self.peers.entry(peer).or_default();
         state.confirmed_through = state.confirmed_through.max(Some(digest.as_of));
@@ -98,7 +99,7 @@
         });
     }
 
-    /// Drops what is about agents that are no longer listed and entries that are gone.
+    /// Removes the state of agents that the directory dropped and of entries that are no members.
     pub(crate) fn expire(&mut self, directory: &Directory, is_member: impl Fn(AgentId) -> bool) {
         let is_known = |agent: &AgentId| directory.contains(*agent);
         self.indices.retain(|agent, _| is_known(agent));
--- a/src/core/directory/directory.rs
+++ b/src/core/directory/directory.rs
@@ -1,4 +1,4 @@
-//! Who is there, as announced.
+//! The live agents, as announced by themselves or reported by other entries.
 
 use {
     crate::core::{
@@ -10,32 +10,30 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Silence after which an agent gets no new work, in milliseconds.
+/// Time without an announcement after which an agent gets no new work, in milliseconds.
 pub(crate) const LIVENESS_TIMEOUT_MS: u64 = 3_000;
-/// Silence after which an agent is dropped from the list, in milliseconds.
+/// Time without an announcement after which an agent is removed, in milliseconds.
 const EXPIRY_MS: u64 = 60_000;
-/// For how long an agent's last announcements may be under way after it is gone, in milliseconds.
+/// Maximum delay of an announcement in transit after its agent stopped, in milliseconds.
 const MAX_ANNOUNCEMENT_DELAY_MS: u64 = 5_000;
 
-/// An agent as last announced.
+/// The latest known state of an agent.
 #[derive(Debug, Clone)]
 pub(crate) struct AgentView {
-    /// What it said.
     pub(crate) announcement: Announcement,
-    /// When it said so, here or to an entry that passed it on.
+    /// When this entry last received an announcement or heartbeat of the agent, from any source.
     pub(crate) last_heard_at: Instant,
-    /// When it last said so here.
+    /// When this entry last received an announcement from the agent itself.
     pub(crate) last_direct_at: Option<Instant>,
-    /// Grows when it says something other than its load.
+    /// Incremented when the announcement changes in more than its load.
     pub(crate) content_version: u64,
-    /// Fingerprint of the announcement.
     pub(crate) fingerprint: u8,
-    /// When a call to it last failed.
+    /// When the latest call to the agent failed.
     failed_at: Option<Instant>,
 }
 
 impl AgentView {
-    /// Whether it was heard lately, and since the last call to it failed.
+    /// Whether the agent was heard within the liveness timeout and after the last failed call.
     fn is_alive(&self, now: Instant) -> bool {
         now.millis_since(self.last_heard_at) < LIVENESS_TIMEOUT_MS
             && self
@@ -44,44 +42,46 @@
     }
 }
 
-/// Where a ticket's home is.
+/// The location of a ticket's home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HomeLocation {
-    /// It announced itself lately, or was last known here.
+    /// The last known address.
     At(SocketAddr),
-    /// This entry has never heard of it, or not for long.
+    /// This entry doesn't know the home, or has removed it.
     Unknown,
-    /// Another process of the same worker announces itself: this one is gone.
+    /// A newer process of the same worker has replaced the home.
     Replaced,
 }
 
-/// The live agents, heard here or reported by other entries.
+/// The agents that this entry knows.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     agents: BTreeMap<AgentId, AgentView>,
     by_worker: BTreeMap<String, AgentId>,
     replaced: BTreeMap<AgentId, Instant>,
-    /// The short numbers by which other entries name agents.
+    /// The agents by reporting entry and that entry's index for them.
     reported: BTreeMap<(AgentId, u32), AgentId>,
-    /// Homes of stopped processes, each with the agent that answers for it now.
+    /// Homes of stopped processes, each with the agent that serves it now.
     adopted: BTreeMap<AgentId, AgentId>,
 }
 
 impl Directory {
-    /// Takes an agent's own announcement in; true if it says something new.
+    /// Records an agent's own announcement; true if its content is new.
     pub(crate) fn record_announcement(&mut self, now: Instant, announcement: Announcement) -> bool {
         self.apply_announcement(now, announcement, true)
     }
 
-    /// Takes in what another entry heard.
+    /// Records an agent that another entry reports in full.
     pub(crate) fn record_report(&mut self, now: Instant, from: AgentId, report: AgentReport) {
         let agent = report.announcement.agent;
         self.reported.insert((from, report.index), agent);
         self.apply_announcement(now, report.announcement, false);
     }
 
-    /// Takes in that another entry heard an agent; false if a report is needed, as it isn't known
-    /// which one that is, or as it said something else here.
+    /// Records a heartbeat of an agent that another entry forwards.
+    ///
+    /// Returns false if a full report is needed because the index is unknown or the fingerprint
+    /// differs.
     pub(crate) fn record_heartbeat(
         &mut self,
         now: Instant,
@@ -148,11 +148,10 @@
         is_new
     }
 
-    /// Whether an announcement can come from a process that is there.
+    /// Whether an announcement can come from a running process.
     ///
-    /// Guards against the last announcements of a dead agent, which arrive late, directly or by
-    /// way of another entry: its successor must not count as replaced. An agent that goes on
-    /// announcing itself for longer than its last words can be under way is there after all.
+    /// Announcements of a stopped agent can arrive late and must not replace its successor. An
+    /// agent that still announces itself after [`MAX_ANNOUNCEMENT_DELAY_MS`] is running.
     fn is_plausible(&mut self, now: Instant, announcement: &Announcement, direct: bool) -> bool {
         let agent = announcement.agent;
         let holder = self
@@ -172,7 +171,7 @@
         direct || !holder_is_alive
     }
 
-    /// Forgets agents that have been silent for long.
+    /// Removes agents without an announcement for [`EXPIRY_MS`].
     pub(crate) fn expire(&mut self, now: Instant) {
         let by_worker = &mut self.by_worker;
         self.agents.retain(|_, view| {
@@ -191,7 +190,7 @@
         self.reported.retain(|_, agent| agents.contains_key(agent));
     }
 
-    /// Where a home is.
+    /// Returns the location of a home.
     pub(crate) fn locate(&self, home: AgentId) -> HomeLocation {
         let home = self.adopted.get(&home).copied().unwrap_or(home);
         if let Some(view) = self.agents.get(&home) {
@@ -203,29 +202,30 @@
         HomeLocation::Unknown
     }
 
-    /// Agents that announced themselves lately.
+    /// The agents that announced themselves within the liveness timeout.
     pub(crate) fn alive(&self, now: Instant) -> impl Iterator<Item = &AgentView> {
         self.agents.values().filter(move |view| view.is_alive(now))
     }
 
-    /// A call to an agent failed: it gets no new work until it answers or is heard again.
+    /// Records a failed call; the agent gets no new work until a call succeeds or it announces
+    /// itself.
     ///
-    /// Guards against a rack that is lost at once: until its silence was noticed, every second
-    /// job would get a home there, and its client would wait for one that is gone.
+    /// When a whole rack fails, jobs stop being sent there before the liveness timeout has passed.
     pub(crate) fn record_call_failure(&mut self, now: Instant, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = Some(now);
         }
     }
 
-    /// A call to an agent was answered.
+    /// Records a successful call.
     pub(crate) fn record_call_success(&mut self, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = None;
         }
     }
 
-    /// Agents that announced themselves here after `since`, or never lately if it is `None`.
+    /// The live agents that announced themselves to this entry after `since`, or ever if it is
+    /// `None`.
     pub(crate) fn announced_here(
         &self,
         now: Instant,
@@ -237,24 +237,24 @@
         })
     }
 
-    /// Whether an agent is still listed.
+    /// Whether the agent is known.
     pub(crate) fn contains(&self, agent: AgentId) -> bool {
         self.agents.contains_key(&agent)
     }
 
-    /// All agents that are still listed.
+    /// All known agents.
     pub(crate) fn agents(&self) -> impl Iterator<Item = &AgentView> {
         self.agents.values()
     }
 
-    /// Whether an agent may be handed new jobs or tasks.
+    /// Whether an agent may get new jobs or tasks.
     pub(crate) fn accepts_work(&self, now: Instant, agent: AgentId) -> bool {
         self.agents
             .get(&agent)
             .is_some_and(|view| !view.announcement.leaving && view.is_alive(now))
     }
 
-    /// Whether the configuration lets tasks start at an agent.
+    /// Whether the configuration allows tasks to start at an agent.
     pub(crate) fn is_open(&self, document: &Document, agent: AgentId) -> bool {
         self.agents.get(&agent).is_some_and(|view| {
             let announcement = &view.announcement;
@@ -262,7 +262,7 @@
         })
     }
 
-    /// Runners that could take tasks of a service, those with most free slots first.
+    /// The runners that can run tasks of a service, in descending order of free slots.
     pub(crate) fn candidates(
         &self,
         now: Instant,
--- a/src/core/directory/mod.rs
+++ b/src/core/directory/mod.rs
@@ -1,4 +1,4 @@
-//! The entry's list of live agents.
+//! The entry's directory of live agents.
 
 mod digest_log;
 mod directory;
--- a/src/core/directory/tests.rs
+++ b/src/core/directory/tests.rs
@@ -27,9 +27,7 @@
     }
 }
 
-/// A worker's agent is killed and its successor announces itself; then a delayed announcement
-/// of the dead one arrives. A client would see its ticket's home come back from the dead and
-/// wait for it. The cause is that announcements may cross; the replaced agent must stay replaced.
+/// Otherwise clients would be sent to the dead agent as the home of their tickets.
 #[test]
 fn a_late_announcement_does_not_revive_a_replaced_agent() {
     let mut directory = Directory::default();
@@ -43,8 +41,7 @@
     );
 }
 
-/// An agent falls silent, as when its host is lost. Work sent there would wait in vain, so it
-/// gets none after three seconds without an announcement.
+/// The agent's host has failed, and work sent there would never run.
 #[test]
 fn an_unresponsive_agent_gets_no_new_work() {
     let mut directory = Directory::default();
@@ -56,7 +53,7 @@
 const LOCAL_ENTRY: AgentId = AgentId(100);
 const REMOTE_ENTRY: AgentId = AgentId(200);
 
-/// Tells another entry's directory what this one heard, and takes its answer in.
+/// Sends a digest of one directory to another and confirms it with the unknown indices.
 fn exchange(at_ms: u64, log: &mut DigestLog, from: &Directory, to: &mut Directory) -> AgentDigest {
     let now = Instant::from_millis(at_ms);
     let digest = log.build_digest(now, REMOTE_ENTRY, from);
@@ -93,7 +90,7 @@
     );
     assert!(remote.accepts_work(Instant::from_millis(4_000), AgentId(1)));
 
-    // The other entry restarts and knows nothing: it asks for the report anew.
+    // The other entry restarts without state and requests full reports.
     let mut restarted = Directory::default();
     local.record_announcement(Instant::from_millis(2_000), announcement(1, "w01"));
     exchange(2_010, &mut log, &local, &mut restarted);
@@ -102,8 +99,7 @@
     assert!(restarted.accepts_work(Instant::from_millis(3_020), AgentId(1)));
 }
 
-/// An agent tells one entry that it leaves; another one passes on what it said before. New work
-/// would go to the leaving one, as its older words arrive last.
+/// Announcements can arrive out of order, directly and by way of another entry.
 #[test]
 fn a_forwarded_older_announcement_does_not_undo_leaving() {
     let mut directory = Directory::default();
@@ -121,8 +117,7 @@
     assert!(!directory.accepts_work(Instant::from_millis(20), AgentId(1)));
 }
 
-/// A worker's new agent announces itself here; another entry still passes on the dead one's last
-/// words. The new one must not count as replaced, or its clients would hear that it is gone.
+/// If the successor counted as replaced, its clients would assume that their home no longer exists.
 #[test]
 fn a_forwarded_announcement_of_a_dead_agent_does_not_replace_its_successor() {
     let mut directory = Directory::default();
@@ -136,8 +131,7 @@
     assert_eq!(directory.locate(AgentId(1)), HomeLocation::Unknown);
 }
 
-/// A rack is lost. Calls to its agents fail long before their silence counts, and clients would
-/// go on being sent there; what is heard of them afterwards clears the suspicion.
+/// When a rack fails, calls to its agents fail before the liveness timeout has passed.
 #[test]
 fn an_agent_gets_no_new_work_after_a_failed_call_until_it_is_heard_again() {
     let mut directory = Directory::default();
--- a/src/core/document/document.rs
+++ b/src/core/document/document.rs
@@ -1,12 +1,11 @@
-//! The document.
+//! The operators' document.
 
 use std::sync::Arc;
 
-/// The operators' document as it lies in the store.
+/// The operators' document as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Document {
-    /// Version of its row; rises with each change, and is never zero.
+    /// Version of the store row; increases with each change and is never zero.
     pub(crate) revision: u64,
-    /// Its text.
     pub(crate) text: Arc<[u8]>,
 }
--- a/src/core/document/document_copy.rs
+++ b/src/core/document/document_copy.rs
@@ -6,25 +6,25 @@
     std::sync::Arc,
 };
 
-/// Most bytes of a part.
+/// Maximum size of a part, in bytes.
 const MAX_PART_BYTES: u64 = 32 << 10;
-/// Time without a part after which another peer may be asked, in milliseconds.
+/// Time without a part after which the fetch may move to another peer, in milliseconds.
 const PART_TIMEOUT_MS: u64 = 500;
-/// Longest document that is fetched, in bytes.
+/// Maximum size of a fetched document, in bytes.
 const MAX_DOCUMENT_BYTES: u64 = 32 << 20;
 
-/// The document that a process holds, and the fetch of a newer one from a peer.
+/// The document of a process, and the fetch of a newer revision from a peer.
 #[derive(Debug)]
 pub(crate) struct DocumentCopy<P> {
     current: Option<Document>,
-    /// The document before it, for peers that have begun to fetch that.
+    /// The document before `current`, for peers that are still fetching it.
     previous: Option<Document>,
     fetch: Option<Fetch<P>>,
 }
 
 #[derive(Debug)]
 struct Fetch<P> {
-    /// Who is asked; nobody once it is gone.
+    /// `None` after the peer has disconnected.
     peer: Option<P>,
     revision: u64,
     text: Vec<u8>,
@@ -32,23 +32,22 @@
     last_part_at: Instant,
 }
 
-/// A document that was fetched to its end.
+/// A completely fetched document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct FetchedDocument {
-    /// The document.
     pub(crate) document: Document,
-    /// For how long it was fetched.
+    /// Duration of the fetch.
     pub(crate) took_ms: u64,
 }
 
-/// What follows from a part.
+/// What to do after a received part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FetchStep {
-    /// Nothing.
+    /// The part is ignored, or the fetch is aborted.
     None,
-    /// The next part is to be asked for.
+    /// Request the next part.
     Request(PartRequest),
-    /// The document is complete, and held from now on.
+    /// The document is complete and is now the current one.
     Complete(FetchedDocument),
 }
 
@@ -63,14 +62,14 @@
 }
 
 impl<P: Copy + PartialEq> DocumentCopy<P> {
-    /// Revision of the document that is held; zero without one.
+    /// Revision of the current document; zero without one.
     pub(crate) fn revision(&self) -> u64 {
         self.current
             .as_ref()
             .map_or(0, |document| document.revision)
     }
 
-    /// Holds a document unless it is no newer than the one that is held.
+    /// Replaces the current document if the given one is newer.
     pub(crate) fn update(&mut self, document: Document) {
         if document.revision <= self.revision() {
             return;
@@ -85,8 +84,8 @@
         self.previous = self.current.replace(document);
     }
 
-    /// Begins to fetch a newer revision from a peer that holds it, unless a fetch is under way. What has come of the
-    /// same revision from another peer is kept.
+    /// Starts to fetch a newer revision from a peer unless a fetch is in progress. An interrupted fetch of the same
+    /// revision resumes where it stopped.
     pub(crate) fn start_fetch(
         &mut self,
         now: Instant,
@@ -116,7 +115,7 @@
         Some(PartRequest { revision, offset })
     }
 
-    /// The part that a peer asks for.
+    /// Returns the part that a peer requests; empty if the revision is no longer available.
     pub(crate) fn part(&self, request: PartRequest) -> DocumentPart {
         let mut documents = self.current.iter().chain(&self.previous);
         let document = documents.find(|document| document.revision == request.revision);
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Takes in a part.
+    /// Handles a part that a peer sent.
     pub(crate) fn handle_part(&mut self, now: Instant, peer: P, part: &DocumentPart) -> FetchStep {
         let Some(fetch) = &mut self.fetch else {
             return FetchStep::None;
@@ -165,7 +164,7 @@
         FetchStep::Complete(fetched)
     }
 
-    /// Notes that a peer is gone; what is fetched from it goes on with another one.
+    /// Interrupts a fetch from this peer; it can resume with another one.
     pub(crate) fn disconnect_peer(&mut self, peer: P) {
         if let Some(fetch) = &mut self.fetch
             && fetch.peer == Some(peer)
--- a/src/core/document/document_part.rs
+++ b/src/core/document/document_part.rs
@@ -1,26 +1,25 @@
-//! Parts of the document, as they are asked for and sent.
+//! Messages that request and carry parts of the document.
 
 use {
     serde::{Deserialize, Serialize},
     std::sync::Arc,
 };
 
-/// Asks for a part of the document.
+/// Requests a part of the document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PartRequest {
-    /// Which revision.
     pub(crate) revision: u64,
-    /// Where the part begins, in bytes.
+    /// Start of the part, in bytes.
     pub(crate) offset: u64,
 }
 
 /// A part of the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DocumentPart {
-    /// What was asked for.
+    /// The request that this part answers.
     pub(crate) request: PartRequest,
-    /// Length of the whole document; zero if the revision is not held any more.
+    /// Length of the complete document; zero if the revision is no longer available.
     pub(crate) document_bytes: u64,
-    /// The bytes from the offset on.
+    /// The bytes that start at the offset.
     pub(crate) bytes: Arc<[u8]>,
 }
--- a/src/core/document/mod.rs
+++ b/src/core/document/mod.rs
@@ -1,8 +1,7 @@
-//! The operators' document, and how a process gets a copy of it from another.
+//! The operators' document, and its transfer between processes.
 //!
-//! A process that is behind asks for the document in small parts, one at a time. Guards against a document
-//! that fills a link: pushed as a whole, it holds up the beats of all sessions on that link, and a session
-//! that is lost for it would begin with the whole document again.
+//! A process with an older revision requests the document in small parts, one at a time, so that a large
+//! document doesn't delay heartbeats on a slow link, and a transfer can resume after a disconnect.
 
 mod document;
 mod document_copy;
--- a/src/core/document/tests.rs
+++ b/src/core/document/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how a copy of the document is fetched.
+//! Tests of fetching the document.
 
 use {
     super::{Document, DocumentCopy, FetchStep, PartRequest},
@@ -30,7 +30,7 @@
     copy
 }
 
-/// Fetches from a holder until nothing more is to be asked for.
+/// Runs a fetch from `holder` until it completes or fails.
 fn fetch(
     copy: &mut DocumentCopy<u8>,
     holder: &DocumentCopy<u8>,
@@ -63,12 +63,12 @@
 fetch_cases! {
     a_newer_document_is_fetched_completely: [3], [7], 7 => Some(7);
     the_current_document_is_not_fetched_again: [7], [7], 7 => None;
-    /// Guards against a peer that changes on while it is asked: what was begun is finished.
+    /// The peer gets a newer document during the fetch.
     the_previous_document_is_still_served: [3], [7, 9], 7 => Some(7);
     a_fetch_of_a_discarded_document_fails: [3], [7, 9, 12], 7 => None;
 }
 
-/// Guards against a fetch that waits for ever on a peer that has fallen silent.
+/// Without a timeout, an unresponsive peer would block the fetch forever.
 #[test]
 fn a_fetch_moves_to_another_peer_after_a_timeout() {
     let mut copy = holder([3]);
@@ -91,11 +91,11 @@
     assert!(copy.start_fetch(at(602), 1, 7).is_some());
 }
 
-/// Guards against a fetch that would put an older document in the place of one that came another way.
+/// A completed fetch must not replace a newer document that arrived from elsewhere.
 #[test]
 fn a_newer_document_cancels_the_fetch_of_an_older_one() {
     let mut copy = holder([3]);
-    let request = copy.start_fetch(at(0), 1, 7).expect("a request");
+    let request = copy.start_fetch(at(0), 1, 7).expect("the fetch starts");
     copy.update(document(9));
     assert_eq!(
         copy.handle_part(at(1), 1, &holder([7]).part(request)),
@@ -104,13 +104,13 @@
     assert_eq!(copy.revision(), 9);
 }
 
-/// Guards against a fetch that begins anew with each peer that is lost, and never ends on a link that is busy.
+/// A fetch that restarted at each disconnect might never complete on a busy link.
 #[test]
 fn a_fetch_resumes_with_another_peer_after_a_disconnect() {
     let (mut copy, holder) = (holder([3]), holder([7]));
-    let first = copy.start_fetch(at(0), 1, 7).expect("a request");
+    let first = copy.start_fetch(at(0), 1, 7).expect("the fetch starts");
     let FetchStep::Request(next) = copy.handle_part(at(1), 1, &holder.part(first)) else {
-        panic!("more than one part");
+        panic!("expected a document of several parts");
     };
     copy.disconnect_peer(1);
     assert_eq!(copy.start_fetch(at(2), 2, 7), Some(next));
@@ -119,7 +119,7 @@
         match copy.handle_part(at(3), 2, &holder.part(request)) {
             FetchStep::Request(next) => request = next,
             FetchStep::Complete(fetched) => break fetched.document,
-            FetchStep::None => panic!("a part is refused"),
+            FetchStep::None => panic!("part was ignored"),
         }
     };
     assert_eq!(fetched, document(7));
--- a/src/core/roster/entry_choice.rs
+++ b/src/core/roster/entry_choice.rs
@@ -1,21 +1,20 @@
-//! Which entry an agent announces to.
+//! Selects the entry that an agent announces itself to.
 
 use {
     crate::core::{ticket::AgentId, time::Instant},
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Entries that an agent announces to in turn.
+/// Number of entries that an agent announces itself to in rotation.
 ///
-/// Each announcement grants tickets to the entry that takes it, and a grant is good for five
-/// seconds. Taking turns over a few entries keeps tickets of every home at each of them, where
-/// one fixed entry for each agent would leave some entries without tickets when agents are few.
+/// Each announcement grants tickets to the receiving entry for five seconds. With one fixed entry
+/// for each agent, some entries would have no tickets when there are few agents.
 const ROTATION_SIZE: usize = 3;
-/// For how long an entry that failed is left out, in milliseconds.
+/// How long an entry is tried last after a failure, in milliseconds.
 const SUSPECT_TIMEOUT_MS: u64 = 3_000;
 
-/// Chooses entries by rendezvous hashing: each agent has an order of its own, and an entry that
-/// comes or goes changes the choice only of the agents that it wins or loses.
+/// Selects entries by rendezvous hashing: adding or removing an entry changes the choice of few
+/// agents only.
 #[derive(Debug)]
 pub(crate) struct EntryChoice {
     agent: AgentId,
@@ -26,7 +25,7 @@
 }
 
 impl EntryChoice {
-    /// An agent that knows the entries of its settings only.
+    /// Creates the choice from the entries in the agent's settings.
     pub(crate) fn new(agent: AgentId, seeds: Vec<SocketAddr>) -> Self {
         Self {
             agent,
@@ -37,24 +36,24 @@
         }
     }
 
-    /// Takes in the roster from an entry's reply.
+    /// Replaces the roster by the one of an entry's reply; ignores an empty one.
     pub(crate) fn set_roster(&mut self, roster: Vec<SocketAddr>) {
         if !roster.is_empty() {
             self.roster = roster;
         }
     }
 
-    /// An entry didn't answer, or can't vouch for the configuration.
+    /// Records that an entry didn't respond or can't confirm its configuration.
     pub(crate) fn mark_suspect(&mut self, now: Instant, entry: SocketAddr) {
         self.suspects.insert(entry, now);
     }
 
-    /// An entry answered.
+    /// Records that an entry responded.
     pub(crate) fn clear_suspect(&mut self, entry: SocketAddr) {
         self.suspects.remove(&entry);
     }
 
-    /// The entries to try for the next announcement, first to last.
+    /// Returns the entries to try for the next announcement, in order.
     pub(crate) fn next_attempt_order(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.suspects
             .retain(|_, since| now.millis_since(*since) < SUSPECT_TIMEOUT_MS);
@@ -70,7 +69,7 @@
                 order.push(seed);
             }
         }
-        // A stable sort: suspects come last and are tried only when nobody else answers.
+        // The sort is stable; suspects come last and are tried only when no other entry responds.
         order.sort_by_key(|entry| self.suspects.contains_key(entry));
         order
     }
--- a/src/core/roster/mod.rs
+++ b/src/core/roster/mod.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, and which of them an agent announces to.
+//! The roster of entries, and an agent's choice among them.
 
 mod entry_choice;
 mod roster;
--- a/src/core/roster/roster.rs
+++ b/src/core/roster/roster.rs
@@ -1,4 +1,4 @@
-//! The roster as one entry reads it.
+//! An entry's view of the roster.
 
 use {
     super::{RosterRow, entry_key, heartbeat_key},
@@ -6,27 +6,27 @@
     std::collections::BTreeMap,
 };
 
-/// Silence of the platform after which beats are timed anew, in milliseconds.
+/// Time between two scans after which heartbeat timeouts restart, in milliseconds.
 ///
-/// Guards against a stampede of removals after an outage: nobody could write a beat meanwhile.
+/// During an outage of the platform no entry can write heartbeats; without the restart all entries
+/// would expire after it.
 const SCAN_GAP_MS: u64 = 10_000;
-/// Room for clocks that run at different speeds: a twentieth of the limit.
+/// The timeout is extended by this fraction of the limit, to allow for clock drift.
 const CLOCK_MARGIN_DIVISOR: u64 = 20;
 
 #[derive(Debug)]
 struct RosterEntry {
     row: RosterRow,
     heartbeat_version: u64,
-    /// When the beat row was first seen at this version.
+    /// When a scan first read the heartbeat row at this version.
     heartbeat_seen_at: Instant,
 }
 
-/// What a reading of all rows showed.
+/// Result of a scan of all rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RosterScan {
-    /// Whether this entry's own row stands.
     pub(crate) own_row_exists: bool,
-    /// Entries whose rows are to be removed, with the version of the beat row last seen.
+    /// Entries whose rows must be removed, with the last read version of the heartbeat row.
     pub(crate) expired: Vec<(AgentId, u64)>,
 }
 
@@ -38,11 +38,11 @@
 }
 
 impl Roster {
-    /// Takes in all rows; `me` is this entry.
+    /// Replaces the roster by the scanned rows; `local` is this entry.
     ///
-    /// Rows of others go when their beat has stood still for longer than they may grant
-    /// permits without the platform, or at once when they name this entry's own address: the
-    /// process that listened there must be gone, as this one does now.
+    /// Another entry expires when its heartbeat row is unchanged for longer than it may grant
+    /// permits without the platform. It expires at once if it has the address of this entry: the
+    /// process that listened there has stopped.
     pub(crate) fn apply_scan(
         &mut self,
         now: Instant,
@@ -91,12 +91,12 @@
             .collect()
     }
 
-    /// Keys of the two rows of an entry.
+    /// Returns the keys of the two rows of an entry.
     pub(crate) fn row_keys(entry: AgentId) -> [String; 2] {
         [entry_key(entry), heartbeat_key(entry)]
     }
 
-    /// All entries but `me`.
+    /// All entries except `local`.
     pub(crate) fn others(&self, local: AgentId) -> impl Iterator<Item = &PeerEntry> {
         self.entries
             .values()
@@ -104,7 +104,7 @@
             .filter(move |entry| entry.entry != local)
     }
 
-    /// An entry made itself known before its row was read.
+    /// Adds an entry that announced itself before its row was read.
     pub(crate) fn add_announced(&mut self, now: Instant, entry: PeerEntry, outage_limit_ms: u64) {
         self.entries.entry(entry.entry).or_insert(RosterEntry {
             row: RosterRow {
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Two entries with beat rows at these versions.
+/// Scans two entries with the given heartbeat versions; entry 1 is the local one.
 fn scan(
     roster: &mut Roster,
     at_ms: u64,
@@ -45,8 +45,7 @@
     (scan.own_row_exists, expired)
 }
 
-/// An entry's host is lost. Its row must go in the end, but not while the process could be cut
-/// off and still grant permits without the platform.
+/// The row must stay while an isolated entry could still grant permits without the platform.
 #[test]
 fn the_row_of_a_dead_entry_expires_after_its_outage_limit() {
     let mut roster = Roster::default();
@@ -57,8 +56,7 @@
     assert_eq!(scan(&mut roster, 63_000, [63, 1], [1, 2]), (true, vec![2]));
 }
 
-/// The platform was down for long and nobody could write a beat. The first reading after it
-/// must not make the entries remove each other.
+/// No entry could write heartbeats during the outage; the first scan after it must not expire them.
 #[test]
 fn a_platform_outage_removes_no_entries() {
     let mut roster = Roster::default();
@@ -96,7 +94,7 @@
     assert_ne!(later.last(), Some(&firsts[0]));
 }
 
-/// An entry leaves. Only agents that announced to it may move, or all announce anew at once.
+/// Otherwise all agents would announce themselves to other entries at once.
 #[test]
 fn removing_an_entry_moves_only_its_own_agents() {
     let all: Vec<SocketAddr> = (1..=8).map(addr).collect();
--- a/src/core/time/instant.rs
+++ b/src/core/time/instant.rs
@@ -1,15 +1,15 @@
-//! The monotonic time that every decision machine is fed with.
+//! Monotonic time as input of the decision logic.
 
-/// A point on one process's monotonic clock, in microseconds since that process started.
+/// A point on the monotonic clock of a process, in microseconds since the process started.
 ///
-/// Instants of different processes can't be compared; durations cross the wire, instants never.
+/// Instants of different processes can't be compared; messages contain durations instead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Instant {
     micros: u64,
 }
 
 impl Instant {
-    /// The instant `micros` microseconds after the process started.
+    /// Creates an instant `micros` microseconds after the process started.
     pub(crate) const fn from_micros(micros: u64) -> Self {
         Self { micros }
     }
@@ -19,38 +19,38 @@
         self.micros
     }
 
-    /// The instant `millis` milliseconds after the process started.
+    /// Creates an instant `millis` milliseconds after the process started.
     #[cfg(test)]
     pub(crate) const fn from_millis(millis: u64) -> Self {
         Self::from_micros(millis * 1_000)
     }
 
-    /// This instant moved `millis` milliseconds into the future.
+    /// Adds `millis` milliseconds.
     pub(crate) const fn plus_ms(self, millis: u64) -> Self {
         Self::from_micros(self.micros.saturating_add(millis.saturating_mul(1_000)))
     }
 
-    /// This instant moved `millis` milliseconds into the past, not before the process's start.
+    /// Subtracts `millis` milliseconds; saturates at the start of the process.
     pub(crate) const fn minus_ms(self, millis: u64) -> Self {
         Self::from_micros(self.micros.saturating_sub(millis.saturating_mul(1_000)))
     }
 
-    /// This instant moved `micros` microseconds into the future.
+    /// Adds `micros` microseconds.
     pub(crate) const fn plus_micros(self, micros: u64) -> Self {
         Self::from_micros(self.micros.saturating_add(micros))
     }
 
-    /// This instant moved `micros` microseconds into the past, not before the process's start.
+    /// Subtracts `micros` microseconds; saturates at the start of the process.
     pub(crate) const fn minus_micros(self, micros: u64) -> Self {
         Self::from_micros(self.micros.saturating_sub(micros))
     }
 
-    /// Whole milliseconds from `earlier` to this instant, zero if `earlier` is later.
+    /// Whole milliseconds from `earlier` to this instant; zero if `earlier` is later.
     pub(crate) const fn millis_since(self, earlier: Self) -> u64 {
         self.micros_since(earlier) / 1_000
     }
 
-    /// Microseconds from `earlier` to this instant, zero if `earlier` is later.
+    /// Microseconds from `earlier` to this instant; zero if `earlier` is later.
     pub(crate) const fn micros_since(self, earlier: Self) -> u64 {
         self.micros.saturating_sub(earlier.micros)
     }
--- a/src/core/time/mod.rs
+++ b/src/core/time/mod.rs
@@ -1,4 +1,4 @@
-//! Points in time on a process's own monotonic clock.
+//! Monotonic time.
 
 mod instant;
 
--- a/src/platform/client_protocol.rs
+++ b/src/platform/client_protocol.rs
@@ -1,4 +1,4 @@
-//! Clients' calls and the answers to them.
+//! The HTTP protocol of clients.
 
 use {
     super::{PlatformError, job_body::parse_job},
@@ -12,30 +12,28 @@
     http::{Method, StatusCode},
 };
 
-/// Time that the client waits, in milliseconds.
+/// How long the client waits for the response, in milliseconds.
 const DEADLINE_HEADER: &str = "rattanslip-deadline-ms";
 
-/// What a client wants of a queue.
+/// The operation that a client requests.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ClientAction {
-    /// Run a job.
     Submit(JobId),
-    /// Tell how a job stands.
+    /// Get the status of a job.
     Status(JobId),
-    /// Cancel a job.
     Cancel(JobId),
-    /// Tell how many jobs wait.
+    /// Get the number of pending jobs.
     Pending,
-    /// Nothing that is served.
+    /// No supported operation.
     Unknown,
 }
 
-/// Translates clients' calls and answers.
+/// Parses clients' requests and builds the responses.
 #[derive(Debug)]
 pub(crate) struct ClientProtocol;
 
 impl ClientProtocol {
-    /// What a call to a queue wants; `rest` is the path after the queue's prefix.
+    /// Parses the operation on a queue; `rest` is the path after the queue's prefix.
     pub(crate) fn parse_action(method: &Method, rest: &str) -> ClientAction {
         let id = JobId::parse(rest);
         match (method, id) {
@@ -47,19 +45,19 @@
         }
     }
 
-    /// The job in a call's body.
+    /// Parses the job in a request's body.
     pub(crate) fn parse_job(request: &HttpRequest) -> Result<JobRequest, PlatformError> {
         parse_job(&request.body)
     }
 
-    /// How long the client waits, if it says so.
+    /// How long the client waits; `None` if it doesn't specify a valid time.
     pub(crate) fn time_left_ms(request: &HttpRequest) -> Option<u64> {
         request.header(DEADLINE_HEADER)?.parse().ok()
     }
 
-    /// The final answer to a job.
+    /// The response with the final outcome of a job.
     ///
-    /// A client sends the job again after a 504, and takes a 429 or 503 as word that it never runs.
+    /// Clients retry a job after a 504, and treat a 429 or 503 as a guarantee that it will not run.
     pub(crate) fn outcome_response(outcome: JobOutcome) -> HttpResponse {
         match outcome {
             JobOutcome::Completed => HttpResponse::json(StatusCode::OK, r#"{"state":"completed"}"#),
@@ -78,7 +76,7 @@
         }
     }
 
-    /// The answer while there is no configuration to go by.
+    /// The response while no configuration is loaded.
     pub(crate) fn not_configured(retry_after_ms: u64) -> HttpResponse {
         Self::rejection(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -87,22 +85,22 @@
         )
     }
 
-    /// The answer for a queue that does not exist.
+    /// The response for an unknown queue.
     pub(crate) fn no_route() -> HttpResponse {
         Self::rejection(StatusCode::NOT_FOUND, "no_route", 0)
     }
 
-    /// The answer for a job that is not known: nothing is kept of jobs that have ended.
+    /// The response for an unknown job; finished jobs are not stored.
     pub(crate) fn no_job() -> HttpResponse {
         Self::rejection(StatusCode::GONE, "no_job", 0)
     }
 
-    /// The answer to a call that can't be understood.
+    /// The response to an invalid request.
     pub(crate) fn bad_request() -> HttpResponse {
         Self::rejection(StatusCode::BAD_REQUEST, "bad_request", 0)
     }
 
-    /// How many jobs of a queue wait.
+    /// The response with the number of pending jobs of a queue.
     pub(crate) fn pending(jobs: usize) -> HttpResponse {
         HttpResponse::json(StatusCode::OK, format!(r#"{{"pending":{jobs}}}"#))
     }
--- a/src/platform/config_document.rs
+++ b/src/platform/config_document.rs
@@ -1,4 +1,4 @@
-//! The operators' document.
+//! Parses the operators' configuration document.
 
 use {
     super::{PlatformError, json::read_json},
@@ -28,7 +28,7 @@
     service: String,
     #[serde(default = "default_timeout_ms")]
     timeout_ms: u64,
-    /// Not the time aimed at for a call: the margin of the objective beyond the stretched work.
+    /// Despite its name not the target duration, but the time that the objective allows beyond the stretched work.
     #[serde(default)]
     target_duration_ms: u64,
     #[serde(default)]
@@ -56,7 +56,7 @@
     idle_timeout_ms: Option<u64>,
 }
 
-/// For a route without a time-out: longer than any client waits.
+/// Timeout of a route that specifies none; longer than any client waits.
 const fn default_timeout_ms() -> u64 {
     60_000
 }
@@ -69,7 +69,7 @@
     1.0
 }
 
-/// The configuration that a document holds.
+/// Parses the configuration in a document.
 pub(crate) fn parse_config(document: &Document) -> Result<SiteConfig, PlatformError> {
     let body: ConfigBody = read_json(&document.text)?;
     Ok(SiteConfig {
--- a/src/platform/errors.rs
+++ b/src/platform/errors.rs
@@ -1,31 +1,31 @@
-//! Why a call or a text of the platform can't be used.
+//! Errors of the platform's calls and formats.
 
 use {crate::ports::StoreError, http::StatusCode, quick_error::quick_error};
 
 quick_error! {
-    /// A call that gave nothing, or a text that can't be read.
+    /// A failed call, or data that can't be parsed.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The request can't be formed.
+        /// The request is invalid.
         Request(error: http::Error) {
             from()
-            display("the request can't be formed: {}", error)
+            display("invalid request: {}", error)
         }
-        /// No connection; nothing was done.
+        /// No connection; the call was not executed.
         NoConnection(detail: String) {
             display("no connection: {}", detail)
         }
-        /// The connection broke or stayed silent; the call may have been carried out.
+        /// The connection failed or timed out; the call may have been executed.
         NoResponse(detail: String) {
-            display("no answer: {}", detail)
+            display("no response: {}", detail)
         }
-        /// The other side refused; nothing was done.
+        /// The server rejected the call and did not execute it.
         Rejected(status: StatusCode) {
-            display("refused with status {}", status)
+            display("rejected with status {}", status)
         }
-        /// A body or row that can't be read.
+        /// A body or row can't be parsed.
         Malformed(detail: String) {
-            display("unreadable: {}", detail)
+            display("malformed data: {}", detail)
         }
     }
 }
--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the worker beside the agent.
+//! HTTP client of the worker on the agent's host.
 
 use {
     super::{
@@ -20,14 +20,14 @@
     std::net::SocketAddr,
 };
 
-/// Names the life of the worker that a call is meant for.
+/// Names the worker incarnation that a call is intended for.
 const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("rattanslip-expected-instance");
-/// Time after which a start or stop without an answer is given up, in milliseconds.
+/// Timeout of a start or stop call, in milliseconds.
 ///
-/// The worker is on the same host and answers within a few milliseconds; a host whose processor share is
-/// used up stands still for up to a tenth of a second.
+/// The worker responds within a few milliseconds, but a host that has used up its CPU quota is suspended for up to
+/// 100 ms.
 const RUN_CALL_TIMEOUT_MS: u64 = 160;
-/// Time beyond the asked wait after which a hold is given up, in milliseconds; as above.
+/// Timeout of a hold call beyond the requested wait, in milliseconds.
 const HOLD_TIMEOUT_MARGIN_MS: u64 = 160;
 
 #[derive(Debug, Serialize)]
@@ -35,7 +35,7 @@
     task: String,
     run: u32,
     spec: &'a str,
-    /// On the worker's clock; the end of the lease of everything that runs there.
+    /// End of the lease for all runs of the worker, on the worker's clock.
     deadline_ms: u64,
     fencing_token: u64,
 }
@@ -82,7 +82,7 @@
     finished: Vec<Vec<serde_json::Value>>,
 }
 
-/// The worker at one address.
+/// Client of the worker at one address.
 #[derive(Debug)]
 pub(crate) struct HttpWorkerClient {
     client: PlatformHttpClient,
@@ -90,7 +90,6 @@
 }
 
 impl HttpWorkerClient {
-    /// The worker that listens there.
     pub(crate) const fn new(client: PlatformHttpClient, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
@@ -136,15 +135,15 @@
                 StartResponse::Unhealthy
             }
             Ok((status, _)) if status.is_client_error() => {
-                log::warn!(status:% = status; "the worker rejected a start");
+                log::warn!(status:% = status; "the worker rejected a start call");
                 StartResponse::Rejected
             }
             Ok((status, _)) => {
-                log::warn!(status:% = status; "unexpected answer to a start");
+                log::warn!(status:% = status; "unexpected response to a start call");
                 StartResponse::Unanswered
             }
             Err(error) => {
-                log::debug!(error:% = error; "a start was not answered");
+                log::debug!(error:% = error; "no response to a start call");
                 StartResponse::Unanswered
             }
         }
@@ -160,7 +159,7 @@
         match response.await {
             Ok((status, _)) => status.is_success(),
             Err(error) => {
-                log::debug!(error:% = error; "a stop was not answered");
+                log::debug!(error:% = error; "no response to a stop call");
                 false
             }
         }
@@ -179,18 +178,18 @@
             Ok((StatusCode::CONFLICT, _)) => HoldResponse::Fenced,
             Ok((StatusCode::MISDIRECTED_REQUEST, _)) => HoldResponse::OtherWorker,
             Ok((status, _)) => {
-                log::warn!(status:% = status; "unexpected answer to a hold");
+                log::warn!(status:% = status; "unexpected response to a hold call");
                 HoldResponse::Unanswered
             }
             Err(error) => {
-                log::debug!(error:% = error; "a hold was not answered");
+                log::debug!(error:% = error; "no response to a hold call");
                 HoldResponse::Unanswered
             }
         }
     }
 }
 
-/// The middle part numbers a job's occurrences; jobs that run once have one, of number zero.
+/// The second part is the number of the job's recurrence; zero for a job that runs once.
 fn task_name(task: TaskId) -> String {
     format!("{}.0.{}.{}", task.job, task.step, task.index)
 }
@@ -206,7 +205,7 @@
     })
 }
 
-/// What a rejection of a start says; unreadable ones count as rejected.
+/// Parses the reason of a rejected start call; unknown and malformed ones count as `Rejected`.
 fn parse_conflict(body: &[u8]) -> StartResponse {
     let reason = serde_json::from_slice::<ReasonBody>(body)
         .unwrap_or_default()
@@ -217,18 +216,18 @@
         "late" => StartResponse::Late,
         "room" => StartResponse::NoRoom,
         other => {
-            log::warn!(reason = other; "the worker rejected a start");
+            log::warn!(reason = other; "the worker rejected a start call");
             StartResponse::Rejected
         }
     }
 }
 
-/// The worker's lists; rows that can't be read are left aside.
+/// Parses the worker's run list; ignores malformed rows.
 fn parse_run_list(body: &[u8]) -> HoldResponse {
     let body: RunListBody = match serde_json::from_slice(body) {
         Ok(body) => body,
         Err(error) => {
-            log::warn!(error:% = error; "the worker's lists can't be read");
+            log::warn!(error:% = error; "the worker's run list is malformed");
             return HoldResponse::Unanswered;
         }
     };
@@ -248,7 +247,7 @@
     }
 }
 
-/// A row of task, run, and what this project makes no use of.
+/// Parses a row of task, run and unused values.
 fn parse_listed_run(row: &[serde_json::Value]) -> Option<ListedRun> {
     Some(ListedRun {
         task: parse_task_name(row.first()?.as_str()?)?,
@@ -256,7 +255,7 @@
     })
 }
 
-/// A row of number, task, run, and how it ended.
+/// Parses a row of sequence number, task, run and outcome.
 fn parse_listed_end(row: &[serde_json::Value]) -> Option<ListedEnd> {
     let end = match row.get(3)?.as_str()? {
         "done" => RunOutcome::Done,
--- a/src/platform/job_body.rs
+++ b/src/platform/job_body.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients send them.
+//! Parses jobs that clients submit.
 
 use {
     super::{PlatformError, json::read_json},
@@ -17,7 +17,7 @@
     best_effort: bool,
     #[serde(default)]
     long_running: bool,
-    /// How often the steps run; zero for once, at once.
+    /// Number of recurrences; zero for a job that runs once, immediately.
     #[serde(default)]
     run_count: u64,
 }
@@ -26,7 +26,7 @@
 struct StepBody {
     #[serde(default)]
     count: u16,
-    /// Thousandths of a core.
+    /// In thousandths of a core.
     #[serde(default)]
     cpu: u32,
     #[serde(default)]
@@ -47,12 +47,12 @@
     requires: String,
     #[serde(default)]
     data_rack: String,
-    /// Most tasks of the step on one worker.
+    /// Maximum number of tasks of the step on one worker.
     #[serde(default)]
     anti_affinity: u16,
 }
 
-/// Reads a job.
+/// Parses a job.
 pub(super) fn parse_job(body: &[u8]) -> Result<JobRequest, PlatformError> {
     let body: JobBody = read_json(body)?;
     Ok(JobRequest {
--- a/src/platform/json.rs
+++ b/src/platform/json.rs
@@ -1,16 +1,14 @@
-//! Bodies and values as JSON.
+//! JSON encoding of bodies and stored values.
 
 use {
     super::PlatformError,
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Reads a body or value.
 pub(super) fn read_json<T: DeserializeOwned>(text: &[u8]) -> Result<T, PlatformError> {
     serde_json::from_slice(text).map_err(|error| PlatformError::Malformed(error.to_string()))
 }
 
-/// Writes a body or value.
 pub(super) fn write_json<T: Serialize>(value: &T) -> Result<Vec<u8>, PlatformError> {
     serde_json::to_vec(value).map_err(|error| PlatformError::Malformed(error.to_string()))
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The users' platform: its names, formats and calls, translated to the project's own types.
+//! Adapter for the users' platform: translates its names, formats and calls to the project's types.
 //!
-//! Nothing in this folder decides, and nothing outside it knows the platform's names.
+//! This module contains no decision logic, and no other module depends on the platform's names.
 
 mod client_protocol;
 mod config_document;
--- a/src/platform/platform_http_client.rs
+++ b/src/platform/platform_http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for everything that the platform serves.
+//! HTTP client for the platform's services.
 
 use {
     super::PlatformError,
@@ -15,33 +15,30 @@
     tokio::time::timeout,
 };
 
-/// Time to connect, in milliseconds: a lost opening packet comes again after a second.
+/// Connect timeout, in milliseconds; shorter than the second after which TCP resends a lost SYN.
 const CONNECT_TIMEOUT_MS: u64 = 400;
-/// Time after which an unused connection closes, in milliseconds; servers close theirs after 15 s.
+/// Idle timeout of connections, in milliseconds; shorter than the 15 s of the servers.
 const IDLE_TIMEOUT_MS: u64 = 8_000;
 
-/// One call.
 #[derive(Debug)]
 pub(super) struct PlatformRequest {
     pub(super) method: Method,
     pub(super) to: SocketAddr,
-    /// Path with its query.
+    /// Path and query.
     pub(super) path: String,
     pub(super) headers: Vec<(HeaderName, HeaderValue)>,
-    /// JSON; empty for none.
+    /// JSON; empty for a request without a body.
     pub(super) body: Vec<u8>,
-    /// Time after which the call is given up.
     pub(super) timeout_ms: u64,
 }
 
-/// Calls by IP number, over connections that are kept.
+/// HTTP client with a connection pool; addresses servers by IP address.
 #[derive(Debug, Clone)]
 pub(crate) struct PlatformHttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl PlatformHttpClient {
-    /// A client without connections.
     pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -54,10 +51,10 @@
         Self { client }
     }
 
-    /// Makes a call and reads the answer to its end.
+    /// Sends a request and reads the complete response; the timeout covers both.
     ///
-    /// A call that is given up closes its connection: an answer that comes late on it can't be
-    /// taken for that of a later call.
+    /// A timeout closes the connection, so that a late response can't be mistaken for that of a
+    /// later call.
     pub(super) async fn call(
         &self,
         call: PlatformRequest,
@@ -72,8 +69,8 @@
         timeout(limit, exchange).await.map_err(|_| timed_out())?
     }
 
-    /// Makes a call whose answer may be long: its time-out ends with the head of the answer, and what follows is read
-    /// for as long as it comes without a pause of `pause_ms`.
+    /// Sends a request whose response may be large. The timeout covers the response head; the body may take any time
+    /// without a gap of `idle_timeout_ms`.
     pub(super) async fn call_streaming(
         &self,
         call: PlatformRequest,
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -1,4 +1,4 @@
-//! The platform's table store: the operators' rows, and the list of entries.
+//! Client of the platform's table store: operators' rows, the list of entries, and worker views.
 
 use {
     super::{
@@ -22,21 +22,21 @@
 
 /// The operators' table.
 const OPERATORS_TABLE: &str = "op";
-/// Its row with the whole configuration.
+/// Key of the operators' row with the complete configuration.
 const CONFIG_KEY: &str = "config";
-/// Keys of its rows that name zones which are taken out.
+/// Key prefix of the operators' rows that name evacuated zones.
 const EVACUATE_PREFIX: &str = "evacuate/";
-/// The system's table of entries.
+/// The project's table of entries.
 const ENTRIES_TABLE: &str = "rattanslip_entries";
-/// The system's table of workers, with a part for each agent.
+/// The project's table of workers, with a part for each agent.
 const WORKERS_TABLE: &str = "rattanslip_workers";
-/// Key of an agent's row there.
+/// Key of an agent's row in [`WORKERS_TABLE`].
 const WORKER_KEY: &str = "worker";
-/// Time for an answer to begin, in milliseconds; a slow store takes 50 times its usual 4.
+/// Time for a response to start, in milliseconds; a slow store takes up to 200 ms.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// Time without a byte after which an answer that has begun is given up, in milliseconds.
+/// Maximum gap while a response body is read, in milliseconds.
 const BODY_IDLE_TIMEOUT_MS: u64 = 1_000;
-/// Time beyond the asked wait after which a feed is given up, in milliseconds; as above.
+/// Timeout of a feed call beyond the requested wait, in milliseconds.
 const FEED_TIMEOUT_MARGIN_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
@@ -44,7 +44,7 @@
     key: String,
     #[serde(default)]
     value: String,
-    /// The version of the store that changed the row last.
+    /// The store version of the row's latest change.
     #[serde(default)]
     ver: u64,
     #[serde(default)]
@@ -57,7 +57,7 @@
     rows: Vec<RowBody>,
     #[serde(default)]
     truncated: bool,
-    /// The store's newest version, not that of a row; after a transaction, the version that it made.
+    /// The latest store version, or the version that a transaction created.
     ver: u64,
 }
 
@@ -68,7 +68,7 @@
     key: &'a str,
 }
 
-/// A row that must have this version for the transaction to be applied.
+/// A row that must have this version for the transaction to succeed.
 #[derive(Debug, Serialize)]
 struct ExpectedRow<'a> {
     #[serde(flatten)]
@@ -90,7 +90,7 @@
     remove: Vec<RowKey<'a>>,
 }
 
-/// The store at one address.
+/// Client of the store at one address.
 #[derive(Debug)]
 pub(crate) struct RowsStore {
     client: PlatformHttpClient,
@@ -98,7 +98,6 @@
 }
 
 impl RowsStore {
-    /// The store that listens there.
     pub(crate) const fn new(client: PlatformHttpClient, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
@@ -119,7 +118,7 @@
         self.client.call_streaming(call, BODY_IDLE_TIMEOUT_MS).await
     }
 
-    /// All rows of one part of a table, and the store's version.
+    /// Reads all rows of one part of a table, and the store version.
     async fn read_rows(
         &self,
         table: &str,
@@ -136,18 +135,18 @@
             }
             let page: RowsBody = read_json(&body)?;
             rows.extend(page.rows);
-            // The first page is the oldest; what changed after it is told by the feed.
+            // The feed delivers all changes after the version of the first page.
             let version = *version.get_or_insert(page.ver);
             let last = rows.last().filter(|_| page.truncated);
             match last {
-                // Keys are in ascending order, and the smallest key above a text is that text and a zero byte.
+                // Keys are in ascending order; a key with an appended zero byte is the next possible key.
                 Some(last) => from = format!("&from={}%00", last.key),
                 None => return Ok((rows, version)),
             }
         }
     }
 
-    /// The rows of a table that changed after a version, and the store's version; none where they are no longer known.
+    /// Waits for rows of a table that changed after a version; `None` if the store no longer has these changes.
     async fn wait_for_changes(
         &self,
         table: &str,
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Applies a transaction; the version that it made, or `None` where a row had another version than expected.
+    /// Executes a transaction and returns the version that it created; `None` if a row had an unexpected version.
     async fn transact(&self, body: &TransactionBody<'_>) -> Result<Option<u64>, PlatformError> {
         let body = write_json(body)?;
         let call = PlatformRequest {
@@ -188,13 +187,13 @@
 /// The operators' rows of a page.
 #[derive(Debug, Default)]
 struct OperatorRowsPage {
-    /// Zones that the page names, and whether they are out.
+    /// Zones that the page names, and whether they are evacuated.
     zones: BTreeMap<String, bool>,
     document: Option<Document>,
 }
 
 impl OperatorRowsPage {
-    /// Reads rows in order; a later one of the same key counts.
+    /// Parses rows in order; a later row replaces an earlier one of the same key.
     fn parse(rows: &[RowBody]) -> Result<Self, PlatformError> {
         let mut page = Self::default();
         for row in rows {
@@ -296,7 +295,7 @@
             ..TransactionBody::default()
         };
         let version = self.transact(&body).await?;
-        // Without an expected version there is nothing that could fail it.
+        // Unreachable: the transaction expects no versions.
         let conflict = || PlatformError::Rejected(StatusCode::PRECONDITION_FAILED);
         Ok(version.ok_or_else(conflict)?)
     }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the translation.
+//! Tests of the platform's formats and calls.
 
 use {
     super::{
@@ -36,7 +36,7 @@
 fn a_heartbeat_is_parsed_completely() {
     let body = heartbeat().to_string();
     let Some(WorkerReport::Heartbeat { view, sequence }) = parse_heartbeat(body.as_bytes()) else {
-        panic!("a heartbeat");
+        panic!("expected a heartbeat");
     };
     assert_eq!(sequence, 4);
     assert_eq!(view.life.id, "w-1");
@@ -47,8 +47,7 @@
     assert!(!view.draining);
 }
 
-/// Another writer's entry looks like a heartbeat and isn't one. Taken for a worker, it would be sent tasks that
-/// nobody runs.
+/// A malformed heartbeat must not register a worker: its tasks would never run.
 macro_rules! invalid_heartbeats {
     ($($name:ident: $damage:expr;)+) => {
         $(
@@ -85,7 +84,7 @@
                 let mut body = json!({"spec": "x", "best_effort": true, "steps": [{"count": 2, "cpu": 500}]});
                 let change: fn(&mut Value) = $change;
                 change(&mut body);
-                let job = parse_job(body.to_string().as_bytes()).expect("a job");
+                let job = parse_job(body.to_string().as_bytes()).expect("valid job");
                 assert_eq!(job.unsupported, $feature);
             }
         )+
@@ -102,8 +101,7 @@
         Some(UnsupportedFeature::LongRunning);
 }
 
-/// Operators add fields that this version does not know. The document is read all the same; without its version
-/// it is refused, and the one before stays in force.
+/// A document with fields of a newer version is accepted; one without a valid version number is rejected.
 #[test]
 fn unknown_fields_of_a_document_are_ignored() {
     let stored = |document: &Value| Document {
@@ -114,13 +112,13 @@
         "version": 12, "colour": "blue",
         "routes": [{"name": "r", "host": "a.example", "path_prefix": "/r/", "service": "shares", "new": [1]}]
     });
-    let config = parse_config(&stored(&document)).expect("a document");
+    let config = parse_config(&stored(&document)).expect("valid document");
     assert_eq!((config.version, config.routes.len()), (12, 1));
     document["version"] = json!("twelve");
     assert!(parse_config(&stored(&document)).is_err());
 }
 
-/// Guards against an answer that is given up while it arrives: a large document over a link that others use, too.
+/// A large document on a busy link takes longer than the call timeout.
 #[tokio::test]
 async fn a_slow_response_body_is_read_completely() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
@@ -142,6 +140,6 @@
     });
     let store = RowsStore::new(PlatformHttpClient::new(), addr);
     let rows = store.read_operator_rows().await.expect("rows");
-    let text = rows.document.expect("a document").text;
+    let text = rows.document.expect("valid document").text;
     assert_eq!(&*text, document.as_bytes());
 }
--- a/src/platform/worker_reports.rs
+++ b/src/platform/worker_reports.rs
@@ -1,4 +1,4 @@
-//! What workers say of themselves.
+//! Parses the calls by which workers report their state.
 
 use {
     super::{PlatformError, json::read_json},
@@ -33,29 +33,25 @@
     #[serde(default)]
     labels: Vec<String>,
     seq: u64,
-    /// Unix milliseconds of this life's start.
+    /// Start of the worker incarnation, in Unix milliseconds.
     #[serde(default)]
     born: u64,
 }
 
-/// Something that a worker says of itself.
+/// A call from a worker.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum WorkerReport {
-    /// How it is.
+    /// The current state of the worker.
     Heartbeat {
-        /// What it says.
         view: WorkerView,
-        /// Number of the report, rising in one life.
+        /// Number of the report; increases within one incarnation.
         sequence: u64,
     },
-    /// It ends now.
-    Leave {
-        /// Its name.
-        worker: String,
-    },
+    /// The worker is shutting down.
+    Leave { worker: String },
 }
 
-/// Reads a call from the worker; `None` if the path is another one.
+/// Parses a call from the worker; `None` for an unknown path.
 pub(crate) fn parse_worker_report(
     path: &str,
     body: &[u8],
