--- a/src/core/demand/demand_queue.rs
+++ b/src/core/demand/demand_queue.rs
@@ -1,14 +1,14 @@
-//! The demands of homes at one runner, and the slots held for them.
+//! The demands of homes at a runner, and the slots held for them.
 
 use {
     crate::core::{ticket::AgentId, time::Instant},
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// For how long an offered slot is held for its home, in milliseconds.
+/// Time for which a slot is held for a home, in milliseconds.
 ///
-/// Guards against homes that die or fall silent with an offer under way: the slot would stay
-/// empty for good. A start that comes later is taken like any other.
+/// The expiry frees slots of homes that die or disconnect. A start that arrives later is handled
+/// like one without a hold.
 const HOLD_MS: u64 = 100;
 
 #[derive(Debug, Clone, Copy)]
@@ -23,47 +23,47 @@
     until: Instant,
 }
 
-/// Who waits for a slot here, longest wait first.
+/// Homes that wait for a slot, longest wait first.
 #[derive(Debug, Default)]
 pub(crate) struct DemandQueue {
     demands: BTreeMap<AgentId, Demand>,
-    order: BTreeSet<(Instant, AgentId)>,
+    by_wait: BTreeSet<(Instant, AgentId)>,
     holds: BTreeMap<AgentId, Hold>,
     held: u16,
 }
 
 impl DemandQueue {
-    /// Sets how many tasks a home waits with, the longest since `since`.
-    pub(crate) fn set(&mut self, home: AgentId, since: Instant, tasks: u16) {
-        self.withdraw(home);
+    /// Sets how many tasks of a home wait, the oldest since `since`.
+    pub(crate) fn set_demand(&mut self, home: AgentId, since: Instant, tasks: u16) {
+        self.remove_demand(home);
         if tasks > 0 {
             self.demands.insert(home, Demand { since, tasks });
-            self.order.insert((since, home));
+            self.by_wait.insert((since, home));
         }
     }
 
-    fn withdraw(&mut self, home: AgentId) {
+    fn remove_demand(&mut self, home: AgentId) {
         if let Some(demand) = self.demands.remove(&home) {
-            self.order.remove(&(demand.since, home));
+            self.by_wait.remove(&(demand.since, home));
         }
     }
 
-    /// Drops all demands of a home and the slots held for it.
-    pub(crate) fn forget(&mut self, home: AgentId) {
-        self.withdraw(home);
+    /// Removes a home's demand and the slots held for it.
+    pub(crate) fn remove_home(&mut self, home: AgentId) {
+        self.remove_demand(home);
         if let Some(hold) = self.holds.remove(&home) {
             self.held -= hold.slots;
         }
     }
 
-    /// Holds one slot for the home that has waited longest, and names it.
-    pub(crate) fn offer(&mut self, now: Instant) -> Option<AgentId> {
-        let (since, home) = *self.order.first()?;
+    /// Holds one slot for the home that has waited longest and returns that home.
+    pub(crate) fn hold_slot(&mut self, now: Instant) -> Option<AgentId> {
+        let (since, home) = *self.by_wait.first()?;
         let demand = self.demands.get_mut(&home)?;
         demand.tasks -= 1;
         if demand.tasks == 0 {
             self.demands.remove(&home);
-            self.order.remove(&(since, home));
+            self.by_wait.remove(&(since, home));
         }
         let hold = self.holds.entry(home).or_insert(Hold {
             slots: 0,
@@ -75,8 +75,8 @@
         Some(home)
     }
 
-    /// Takes one slot held for a home; false if none is.
-    pub(crate) fn take_hold(&mut self, home: AgentId) -> bool {
+    /// Releases one slot held for a home as a task starts; false if none is held.
+    pub(crate) fn consume_hold(&mut self, home: AgentId) -> bool {
         let Some(hold) = self.holds.get_mut(&home) else {
             return false;
         };
@@ -88,8 +88,8 @@
         true
     }
 
-    /// Gives back slots whose homes did not use them in time.
-    pub(crate) fn expire(&mut self, now: Instant) {
+    /// Releases held slots whose time has expired.
+    pub(crate) fn expire_holds(&mut self, now: Instant) {
         let held = &mut self.held;
         self.holds.retain(|_, hold| {
             let keep = now < hold.until;
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -1,4 +1,4 @@
-//! The operators' document, for agents and from agents.
+//! Exchanges the operators' document with agents.
 
 use {
     super::{DispatchAction, DispatchLogEvent, Dispatcher, LinkId, worker_link::WorkerKey},
@@ -9,14 +9,15 @@
     },
 };
 
-/// Agents that hold the document for entries that do not reach the store: the loss of any two leaves one.
+/// Number of agents that hold the document for entries without access to the store; with three, the
+/// loss of any two is tolerated.
 const DOCUMENT_HOLDERS: usize = 3;
-/// Time for which an agent holds a newer document before the entry fetches it, in milliseconds: an entry that reaches
-/// the store reads it there meanwhile.
-const FETCH_PAUSE_MS: u64 = 400;
+/// How long an agent must hold a newer document before the entry fetches it, in milliseconds; an
+/// entry with access to the store reads it there in the meantime.
+const FETCH_DELAY_MS: u64 = 400;
 
 impl Dispatcher {
-    /// Whether an agent is to hold the document.
+    /// Whether the agent is to hold the document.
     pub(super) fn is_document_holder(&self, key: WorkerKey) -> bool {
         let connected = self.by_agent.values().filter(|key| {
             let worker = self.workers.get(**key);
@@ -27,19 +28,19 @@
             .any(|holder| *holder == key)
     }
 
-    pub(super) fn hold_document(&mut self, document: Document) {
+    pub(super) fn set_document(&mut self, document: Document) {
         self.document.update(document);
-        self.behind_since = None;
+        self.document_behind_since = None;
     }
 
-    /// Fetches the document from an agent that has held a newer one for long enough.
+    /// Fetches the document from an agent that reports a newer revision for long enough.
     pub(super) fn fetch_document(&mut self, now: Instant, link: LinkId, revision: u64) {
         let held = self.document.revision();
         if revision <= held {
             return;
         }
-        let behind_since = *self.behind_since.get_or_insert(now);
-        if held > 0 && now.millis_since(behind_since) < FETCH_PAUSE_MS {
+        let document_behind_since = *self.document_behind_since.get_or_insert(now);
+        if held > 0 && now.millis_since(document_behind_since) < FETCH_DELAY_MS {
             return;
         }
         if let Some(request) = self.document.start_fetch(now, link, revision) {
@@ -48,7 +49,7 @@
         }
     }
 
-    pub(super) fn take_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
+    pub(super) fn handle_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
         match self.document.handle_part(now, link, part) {
             FetchStep::None => {}
             FetchStep::Request(request) => {
@@ -56,14 +57,14 @@
                 self.actions.push(DispatchAction::Send { link, frame });
             }
             FetchStep::Complete(fetched) => {
-                self.behind_since = None;
+                self.document_behind_since = None;
                 self.log_event(DispatchLogEvent::DocumentFetched {
                     agent: self.agent_of(link),
                     revision: fetched.document.revision,
                     bytes: fetched.document.text.len(),
                     took_ms: fetched.took_ms,
                 });
-                let action = DispatchAction::TakeDocument(fetched.document);
+                let action = DispatchAction::ApplyDocument(fetched.document);
                 self.actions.push(action);
             }
         }
--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -124,7 +124,7 @@
     ClientAnswer {
         client: usize,
         call: (usize, u64, u64),
-        answer: JobOutcome,
+        outcome: JobOutcome,
     },
     ClientBreak {
         client: usize,
@@ -392,8 +392,8 @@
             Event::ClientAnswer {
                 client,
                 call,
-                answer,
-            } => self.answer_client(client, call, answer),
+                outcome,
+            } => self.answer_client(client, call, outcome),
             Event::ClientBreak { client } => self.break_client(client),
             Event::ClientDeadline { client } => self.end_client(client),
             Event::Fault(fault) => self.begin(fault),
@@ -450,20 +450,20 @@
                     self.at(at, Event::LostAtAgent { link: link.0 });
                 }
             }
-            DispatchAction::Reply { waiter, answer } => {
+            DispatchAction::Reply { waiter, outcome } => {
                 let call = (entry, life, waiter.0);
                 if let Some(client) = self.waiters.remove(&call) {
                     self.soon(Event::ClientAnswer {
                         client,
                         call,
-                        answer,
+                        outcome,
                     });
                 }
             }
             DispatchAction::ApplyEvacuatedZones(news) => {
                 self.feed_entry(entry, DispatchEvent::EvacuatedZones(news))
             }
-            DispatchAction::TakeDocument(document) => {
+            DispatchAction::ApplyDocument(document) => {
                 self.feed_entry(entry, DispatchEvent::Document(document));
             }
             DispatchAction::Log(note) => self.trace(format!("entry {entry}: {note:?}")),
@@ -744,8 +744,8 @@
         let event = if self.alive[worker] {
             match action {
                 ExecutionAction::Start(call) => {
-                    let answer = self.start_at_worker(worker, &call);
-                    ExecutionEvent::StartAnswered { call, answer }
+                    let response = self.start_at_worker(worker, &call);
+                    ExecutionEvent::StartAnswered { call, response }
                 }
                 ExecutionAction::Stop(call) => {
                     let meant = call.worker == self.workers[worker].life.id;
@@ -753,12 +753,12 @@
                     ExecutionEvent::StopAnswered { call, confirmed }
                 }
                 ExecutionAction::Hold(call) => {
-                    let answer = if call.worker == self.workers[worker].life.id {
+                    let response = if call.worker == self.workers[worker].life.id {
                         self.workers[worker].hold(now, &call)
                     } else {
                         HoldResponse::OtherWorker
                     };
-                    ExecutionEvent::HoldAnswered { call, answer }
+                    ExecutionEvent::HoldAnswered { call, response }
                 }
                 _ => return,
             }
@@ -1195,7 +1195,7 @@
     match action.clone_call() {
         ExecutionAction::Start(call) => ExecutionEvent::StartAnswered {
             call,
-            answer: StartResponse::Unanswered,
+            response: StartResponse::Unanswered,
         },
         ExecutionAction::Stop(call) => ExecutionEvent::StopAnswered {
             call,
@@ -1203,7 +1203,7 @@
         },
         ExecutionAction::Hold(call) => ExecutionEvent::HoldAnswered {
             call,
-            answer: HoldResponse::Unanswered,
+            response: HoldResponse::Unanswered,
         },
         _ => ExecutionEvent::Tick,
     }
