--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn set_document(&mut self, document: Document) {
-        self.document.hold(document);
+        self.document.update(document);
         self.document_behind_since = None;
     }
 
@@ -43,16 +43,16 @@
         if held > 0 && now.millis_since(document_behind_since) < FETCH_DELAY_MS {
             return;
         }
-        if let Some(request) = self.document.begin_fetch(now, link, revision) {
+        if let Some(request) = self.document.start_fetch(now, link, revision) {
             let frame = EntryFrame::FetchDocument(request);
             self.actions.push(DispatchAction::Send { link, frame });
         }
     }
 
     pub(super) fn handle_document_part(&mut self, now: Instant, link: LinkId, part: &DocumentPart) {
-        match self.document.take_part(now, link, part) {
+        match self.document.handle_part(now, link, part) {
             FetchStep::None => {}
-            FetchStep::Ask(request) => {
+            FetchStep::Request(request) => {
                 let frame = EntryFrame::FetchDocument(request);
                 self.actions.push(DispatchAction::Send { link, frame });
             }
--- a/src/platform/platform_caller.rs
+++ b/src/platform/platform_http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for everything that the platform serves.
+//! HTTP client for the platform's services.
 
 use {
     super::PlatformError,
@@ -15,79 +15,76 @@
     tokio::time::timeout,
 };
 
-/// Time to connect, in milliseconds: a lost opening packet comes again after a second.
+/// Connect timeout, in milliseconds; shorter than the second after which TCP resends a lost SYN.
 const CONNECT_TIMEOUT_MS: u64 = 400;
-/// Time after which an unused connection closes, in milliseconds; servers close theirs after 15 s.
-const IDLE_CLOSE_MS: u64 = 8_000;
+/// Idle timeout of connections, in milliseconds; shorter than the 15 s of the servers.
+const IDLE_TIMEOUT_MS: u64 = 8_000;
 
-/// One call.
 #[derive(Debug)]
-pub(super) struct PlatformCall {
+pub(super) struct PlatformRequest {
     pub(super) method: Method,
     pub(super) to: SocketAddr,
-    /// Path with its query.
+    /// Path and query.
     pub(super) path: String,
     pub(super) headers: Vec<(HeaderName, HeaderValue)>,
-    /// JSON; empty for none.
+    /// JSON; empty for a request without a body.
     pub(super) body: Vec<u8>,
-    /// Time after which the call is given up.
     pub(super) timeout_ms: u64,
 }
 
-/// Calls by IP number, over connections that are kept.
+/// HTTP client with a connection pool; addresses servers by IP address.
 #[derive(Debug, Clone)]
-pub(crate) struct PlatformCaller {
+pub(crate) struct PlatformHttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl PlatformCaller {
-    /// A client without connections.
+impl PlatformHttpClient {
     pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_millis(IDLE_CLOSE_MS))
+            .pool_idle_timeout(Duration::from_millis(IDLE_TIMEOUT_MS))
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Makes a call and reads the answer to its end.
+    /// Sends a request and reads the complete response; the timeout covers both.
     ///
-    /// A call that is given up closes its connection: an answer that comes late on it can't be
-    /// taken for that of a later call.
+    /// A timeout closes the connection, so that a late response can't be mistaken for that of a
+    /// later call.
     pub(super) async fn call(
         &self,
-        call: PlatformCall,
+        call: PlatformRequest,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let limit = Duration::from_millis(call.timeout_ms);
         let exchange = async {
             let response = self.send(call).await?;
             let status = response.status();
             let body = response.into_body().collect().await;
-            Ok((status, body.map_err(no_answer)?.to_bytes()))
+            Ok((status, body.map_err(no_response)?.to_bytes()))
         };
         timeout(limit, exchange).await.map_err(|_| timed_out())?
     }
 
-    /// Makes a call whose answer may be long: its time-out ends with the head of the answer, and what follows is read
-    /// for as long as it comes without a pause of `pause_ms`.
-    pub(super) async fn read(
+    /// Sends a request whose response may be large. The timeout covers the response head; the body may take any time
+    /// without a gap of `idle_timeout_ms`.
+    pub(super) async fn call_streaming(
         &self,
-        call: PlatformCall,
-        pause_ms: u64,
+        call: PlatformRequest,
+        idle_timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let limit = Duration::from_millis(call.timeout_ms);
         let response = timeout(limit, self.send(call));
         let response = response.await.map_err(|_| timed_out())??;
         let status = response.status();
-        let body = read_long_body(response.into_body(), pause_ms).await;
-        Ok((status, body.map_err(no_answer)?))
+        let body = read_long_body(response.into_body(), idle_timeout_ms).await;
+        Ok((status, body.map_err(no_response)?))
     }
 
-    async fn send(&self, call: PlatformCall) -> Result<Response<Incoming>, PlatformError> {
+    async fn send(&self, call: PlatformRequest) -> Result<Response<Incoming>, PlatformError> {
         let mut request = Request::builder()
             .method(call.method)
             .uri(format!("http://{}{}", call.to, call.path));
@@ -102,16 +99,16 @@
             if error.is_connect() {
                 PlatformError::NoConnection(error.to_string())
             } else {
-                no_answer(error)
+                no_response(error)
             }
         })
     }
 }
 
-fn no_answer(error: impl ToString) -> PlatformError {
-    PlatformError::NoAnswer(error.to_string())
+fn no_response(error: impl ToString) -> PlatformError {
+    PlatformError::NoResponse(error.to_string())
 }
 
 fn timed_out() -> PlatformError {
-    no_answer("timed out")
+    no_response("timed out")
 }
--- a/src/site_agent/worker_report_handler.rs
+++ b/src/site_agent/worker_report_handler.rs
@@ -5,7 +5,7 @@
     crate::{
         adapters::http::{HttpHandler, HttpRequest, HttpResponse},
         core::execution::ExecutionEvent,
-        platform::{WorkerReport, read_worker_word},
+        platform::{WorkerReport, parse_worker_report},
         ports::{Counter, Metrics},
     },
     async_trait::async_trait,
@@ -24,7 +24,7 @@
 #[async_trait]
 impl HttpHandler for WorkerReportHandler {
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
-        let report = match read_worker_word(&request.path, &request.body) {
+        let report = match parse_worker_report(&request.path, &request.body) {
             None => return HttpResponse::empty(StatusCode::NOT_FOUND),
             Some(Err(error)) => {
                 self.metrics.count(Counter::Announcements, "unreadable");
--- a/src/site_entry/client_api.rs
+++ b/src/site_entry/client_api.rs
@@ -11,7 +11,7 @@
             routes::{HttpLimits, Route},
             work::JobId,
         },
-        platform::{ClientAction, PlatformClients},
+        platform::{ClientAction, ClientProtocol},
         ports::{Counter, DecisionLog, LogPriority, Metrics, log_decision},
     },
     async_trait::async_trait,
@@ -57,12 +57,12 @@
 
 impl ClientApi {
     async fn submit(&self, http_request: &HttpRequest, id: JobId, route: &Route) -> HttpResponse {
-        let request = match PlatformClients::job(http_request) {
+        let request = match ClientProtocol::parse_job(http_request) {
             Ok(request) => request,
             Err(error) => {
                 log::info!(job:% = id, error:% = error; "invalid job request");
                 self.record_rejection(http_request, RefusalReason::BadJob.as_str());
-                return PlatformClients::bad_request();
+                return ClientProtocol::bad_request();
             }
         };
         if let Some(feature) = request.unsupported {
@@ -75,7 +75,7 @@
             id,
             request,
             route: Arc::new(route.clone()),
-            time_left_ms: PlatformClients::time_left_ms(http_request).unwrap_or(route.timeout_ms),
+            time_left_ms: ClientProtocol::time_left_ms(http_request).unwrap_or(route.timeout_ms),
         };
         let mut guard = DisconnectGuard {
             waiter,
@@ -85,14 +85,14 @@
         let sent = self.inputs.send(LoopInput::Submit { submission, reply });
         if sent.is_err() {
             log::warn!(job:% = id; "dispatcher is not running");
-            return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
+            return ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS);
         }
         match outcome.await {
             Ok(outcome) => {
                 guard.replied = true;
-                PlatformClients::answer(outcome)
+                ClientProtocol::outcome_response(outcome)
             }
-            Err(_) => PlatformClients::answer(JobOutcome::GivenUp(GiveUpReason::Isolated)),
+            Err(_) => ClientProtocol::outcome_response(JobOutcome::GivenUp(GiveUpReason::Isolated)),
         }
     }
 
@@ -115,29 +115,29 @@
         let route = route.name.clone();
         let sent = self.inputs.send(LoopInput::CountPending { route, reply });
         match (sent, pending_jobs.await) {
-            (Ok(()), Ok(jobs)) => PlatformClients::pending(jobs),
-            _ => PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS),
+            (Ok(()), Ok(jobs)) => ClientProtocol::pending(jobs),
+            _ => ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS),
         }
     }
 
     async fn route_request(&self, http_request: &HttpRequest) -> HttpResponse {
         let Some(config) = self.state.config() else {
             self.record_rejection(http_request, "no_configuration");
-            return PlatformClients::not_configured(NOT_CONFIGURED_RETRY_MS);
+            return ClientProtocol::not_configured(NOT_CONFIGURED_RETRY_MS);
         };
         let Some(route) = config.routes.find(&http_request.host, &http_request.path) else {
             self.record_rejection(http_request, "no_route");
-            return PlatformClients::no_route();
+            return ClientProtocol::no_route();
         };
         let subpath = http_request
             .path
             .get(route.path_prefix.len()..)
             .unwrap_or_default();
-        match PlatformClients::action(&http_request.method, subpath) {
+        match ClientProtocol::parse_action(&http_request.method, subpath) {
             ClientAction::Submit(id) => self.submit(http_request, id, route).await,
-            ClientAction::Status(_) | ClientAction::Cancel(_) => PlatformClients::no_job(),
+            ClientAction::Status(_) | ClientAction::Cancel(_) => ClientProtocol::no_job(),
             ClientAction::Pending => self.pending(route).await,
-            ClientAction::Unknown => PlatformClients::bad_request(),
+            ClientAction::Unknown => ClientProtocol::bad_request(),
         }
     }
 }
