--- a/src/agent/announcer.rs
+++ b/src/agent/announcer.rs
@@ -80,16 +80,16 @@
 
     /// Announces to the next entry, and to others if it fails or grants no permit.
     async fn announce(&mut self) -> Option<()> {
-        let entries = self.entries.next_round(self.timer.now());
+        let entries = self.entries.next_attempt_order(self.timer.now());
         for entry in entries.into_iter().take(MAX_ENTRIES_TRIED) {
             let snapshot = self.agent.snapshot().await?;
             let outcome = self.announce_to(entry, snapshot).await;
             self.metrics.count(Counter::Announcements, outcome.as_str());
             if outcome == AnnounceOutcome::Answered {
-                self.entries.trust(entry);
+                self.entries.clear_suspect(entry);
                 break;
             }
-            self.entries.suspect(self.timer.now(), entry);
+            self.entries.mark_suspect(self.timer.now(), entry);
         }
         Some(())
     }
