--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -14,7 +14,7 @@
             ticket::{Ticket, TicketError},
             verdict::NotRunReason,
         },
-        entry::Identity,
+        entry::JobIdentity,
         ports::Counter,
     },
     poem::{
@@ -180,7 +180,7 @@
     let has_identity =
         request.header(TICKET_HEADER).is_some() || request.header(IDEMPOTENCY_KEY_HEADER).is_some();
     let identity = if spec.repeatable && !has_identity {
-        Identity::of_ticket(api.state.mint(1).pop().ok_or_else(no_tickets)?)
+        JobIdentity::of_ticket(api.state.mint(1).pop().ok_or_else(no_tickets)?)
     } else {
         identity(api, request, &spec.team).await?
     };
@@ -241,9 +241,9 @@
 }
 
 /// The ticket that the request carries, or the one that its key is bound to.
-async fn identity(api: &EntryApi, request: &Request, team: &str) -> Result<Identity, Refusal> {
+async fn identity(api: &EntryApi, request: &Request, team: &str) -> Result<JobIdentity, Refusal> {
     if let Some(text) = request.header(TICKET_HEADER) {
-        return parse_ticket(text).map(Identity::of_ticket);
+        return parse_ticket(text).map(JobIdentity::of_ticket);
     }
     let Some(key) = request.header(IDEMPOTENCY_KEY_HEADER) else {
         let message = format!("send {TICKET_HEADER} or {IDEMPOTENCY_KEY_HEADER}");
@@ -254,7 +254,7 @@
         return Err(Refusal::new(NotRunReason::BadRequest, message));
     }
     match api.claims.ticket_for(team, key).await {
-        Ok(ticket) => Ok(Identity {
+        Ok(ticket) => Ok(JobIdentity {
             ticket,
             by_key: true,
         }),
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -5,7 +5,7 @@
     crate::{
         cli::RunError,
         core::verdict::NotRunReason,
-        entry::{ConfigKeeper, EntryState, Jobs},
+        entry::{ConfigStore, EntryState, Jobs},
         ports::Metrics,
     },
     poem::{
@@ -24,7 +24,7 @@
     pub(crate) jobs: Jobs,
     pub(crate) claims: Arc<crate::entry::Claims>,
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config_store: Arc<ConfigStore>,
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) max_body_bytes: usize,
     pub(crate) max_deadline_ms: u64,
--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -29,7 +29,7 @@
 pub(crate) async fn show(api: Api<'_>, Query(query): Query<ShowQuery>) -> Response {
     let held = match query.version {
         None => api.state.in_force(),
-        Some(version) => match api.keeper.at_version(version).await {
+        Some(version) => match api.config_store.at_version(version).await {
             Ok(Some(held)) => Some(held),
             Ok(None) => return failure(&ApplyError::UnknownBase(version)),
             Err(error) => return failure(&ApplyError::Unavailable(error)),
@@ -56,7 +56,7 @@
         Ok(change) => change,
         Err(detail) => return message(StatusCode::BAD_REQUEST, &detail),
     };
-    answer(api.keeper.apply(operator, &change).await)
+    answer(api.config_store.apply(operator, &change).await)
 }
 
 /// `POST /v1/config/diff`: what the change would do now; without a token for any section.
@@ -71,14 +71,14 @@
         Ok(change) => change,
         Err(detail) => return message(StatusCode::BAD_REQUEST, &detail),
     };
-    answer(api.keeper.preview(&owned, &change).await)
+    answer(api.config_store.preview(&owned, &change).await)
 }
 
 /// `GET /v1/config/history`, `GET /v1/config/history?last=N`
 #[handler]
 pub(crate) async fn history(api: Api<'_>, Query(query): Query<HistoryQuery>) -> Response {
     let last = query.last.unwrap_or(HISTORY_LAST);
-    match api.keeper.history(last).await {
+    match api.config_store.history(last).await {
         Ok(heads) => Json(heads).into_response(),
         Err(error) => failure(&ApplyError::Unavailable(error)),
     }
@@ -104,7 +104,7 @@
         edit: Edit::Zone { zone, state },
         close_last_zone: query.last,
     };
-    answer(api.keeper.apply(operator, &change).await)
+    answer(api.config_store.apply(operator, &change).await)
 }
 
 /// `GET /v1/workers`
@@ -132,7 +132,7 @@
 
 fn operator<'a>(api: &'a Arc<EntryApi>, request: &Request) -> Option<&'a OperatorSettings> {
     let token = request.header("authorization")?.strip_prefix("Bearer ")?;
-    api.keeper.operator(token)
+    api.config_store.find_operator(token)
 }
 
 fn change(body: ChangeBody) -> Result<Change, String> {
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -26,23 +26,23 @@
 /// Writes a second that one entry makes for claims, out of several hundred for everybody.
 const WRITES_PER_S: u32 = 50;
 /// Most keys that wait to be bound: about a second's worth of full writes.
-const MAX_WAITING: usize = 2_048;
+const MAX_QUEUED_CLAIMS: usize = 2_048;
 /// Most reads of the table under way; what goes beyond is refused.
-const MAX_READS: usize = 256;
-/// Most bindings remembered.
-const MAX_REMEMBERED: usize = 20_000;
+const MAX_CONCURRENT_READS: usize = 256;
+/// Most bindings cached.
+const MAX_CACHED_BINDINGS: usize = 20_000;
 /// Pause between looks at the write budget, in milliseconds.
-const PUMP_MS: u64 = 5;
+const PUMP_INTERVAL_MS: u64 = 5;
 
-type BoundReply = oneshot::Sender<Result<Ticket, ClaimFault>>;
+type ReplySender = oneshot::Sender<Result<Ticket, ClaimFault>>;
 
 #[derive(Debug)]
 struct Inner {
     queue: ClaimQueue,
-    waiters: BTreeMap<ClaimId, BoundReply>,
+    waiters: BTreeMap<ClaimId, ReplySender>,
     next_id: u64,
-    remembered: BTreeMap<String, Ticket>,
-    order: VecDeque<String>,
+    cache: BTreeMap<String, Ticket>,
+    cache_order: VecDeque<String>,
 }
 
 /// Binds keys to tickets.
@@ -66,13 +66,13 @@
             state,
             table,
             timer,
-            reads: tokio::sync::Semaphore::new(MAX_READS),
+            reads: tokio::sync::Semaphore::new(MAX_CONCURRENT_READS),
             inner: Mutex::new(Inner {
-                queue: ClaimQueue::new(MAX_WAITING, WRITES_PER_S),
+                queue: ClaimQueue::new(MAX_QUEUED_CLAIMS, WRITES_PER_S),
                 waiters: BTreeMap::new(),
                 next_id: 0,
-                remembered: BTreeMap::new(),
-                order: VecDeque::new(),
+                cache: BTreeMap::new(),
+                cache_order: VecDeque::new(),
             }),
         }
     }
@@ -83,10 +83,10 @@
 
     /// Paces the writes until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut ticks = self.timer.subscribe(PUMP_MS);
+        let mut ticks = self.timer.subscribe(PUMP_INTERVAL_MS);
         while ticks.recv().await.is_some() {
             let actions = self.lock().queue.pump(self.timer.now());
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 
@@ -102,25 +102,28 @@
     ) -> Result<Ticket, Verdict> {
         let row = row_key(team, key);
         if let Some(ticket) = self.lookup(team, key).await? {
-            self.remember(row, ticket);
+            self.cache_binding(row, ticket);
             return Ok(ticket);
         }
         let fresh = self.state.mint(1).pop().ok_or(Verdict::NotRun {
             reason: NotRunReason::NoTickets,
             retry_after_ms: TICKET_RETRY_AFTER_MS,
         })?;
-        let ticket = self.bind(row.clone(), fresh).await.map_err(not_bound)?;
-        self.remember(row, ticket);
+        let ticket = self
+            .bind(row.clone(), fresh)
+            .await
+            .map_err(not_bound_verdict)?;
+        self.cache_binding(row, ticket);
         Ok(ticket)
     }
 
     /// The ticket that a team's key is bound to, if it is.
     pub(crate) async fn lookup(&self, team: &str, key: &str) -> Result<Option<Ticket>, Verdict> {
         let row = row_key(team, key);
-        let remembered = self.lock().remembered.get(&row).copied();
-        match remembered {
+        let cached = self.lock().cache.get(&row).copied();
+        match cached {
             Some(ticket) => Ok(Some(ticket)),
-            None => self.find(&row).await,
+            None => self.find_binding(&row).await,
         }
     }
 
@@ -129,7 +132,7 @@
     /// Guards against a false "not run": while the table can't be read nobody knows whether the
     /// key was submitted before and its job ran, so the client hears that it may have, and when
     /// to ask again with the same key.
-    async fn find(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
+    async fn find_binding(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
         let unknown = Verdict::MayHaveRun {
             reason: MayHaveRunReason::StoreUnavailable,
             retry_after_ms: STORE_RETRY_AFTER_MS,
@@ -137,7 +140,7 @@
         let Ok(_permit) = self.reads.try_acquire() else {
             return Err(unknown);
         };
-        self.bound(row).await.map_err(|_| unknown)
+        self.read_binding(row).await.map_err(|_| unknown)
     }
 
     async fn bind(self: &Arc<Self>, row: String, fresh: Ticket) -> Result<Ticket, ClaimFault> {
@@ -149,11 +152,11 @@
             inner.waiters.insert(id, reply);
             inner.queue.ask(self.timer.now(), Claim { id, row, fresh })
         };
-        self.carry_out(actions);
+        self.execute(actions);
         bound.await.unwrap_or(Err(ClaimFault::StoreUnavailable))
     }
 
-    fn carry_out(self: &Arc<Self>, actions: Vec<ClaimAction>) {
+    fn execute(self: &Arc<Self>, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Write(claims) => {
@@ -183,29 +186,29 @@
             Err(StoreError::OutcomeUnknown(_)) => WriteOutcome::Unknown,
         };
         let actions = self.lock().queue.written(self.timer.now(), &outcome);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     async fn read(self: Arc<Self>, id: ClaimId, row: String) {
-        let found = self.bound(&row).await.ok().flatten();
+        let found = self.read_binding(&row).await.ok().flatten();
         self.reply(id, found.ok_or(ClaimFault::StoreUnavailable));
     }
 
-    async fn bound(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
+    async fn read_binding(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
         let row = self.table.get(row).await?;
         Ok(row.and_then(|row| row.value.parse().ok()))
     }
 
-    /// Bindings never change, so a remembered one needs no store.
-    fn remember(&self, row: String, ticket: Ticket) {
+    /// Bindings never change, so a cached one needs no store.
+    fn cache_binding(&self, row: String, ticket: Ticket) {
         let mut inner = self.lock();
-        if inner.remembered.insert(row.clone(), ticket).is_none() {
-            inner.order.push_back(row);
+        if inner.cache.insert(row.clone(), ticket).is_none() {
+            inner.cache_order.push_back(row);
         }
-        if inner.order.len() > MAX_REMEMBERED
-            && let Some(oldest) = inner.order.pop_front()
+        if inner.cache_order.len() > MAX_CACHED_BINDINGS
+            && let Some(oldest) = inner.cache_order.pop_front()
         {
-            inner.remembered.remove(&oldest);
+            inner.cache.remove(&oldest);
         }
     }
 }
@@ -230,7 +233,7 @@
 }
 
 /// The key was read as unbound, so nothing ran under it, and this request's ticket is not used.
-const fn not_bound(fault: ClaimFault) -> Verdict {
+const fn not_bound_verdict(fault: ClaimFault) -> Verdict {
     match fault {
         ClaimFault::QueueFull => Verdict::NotRun {
             reason: NotRunReason::ClaimBudget,
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        ApplyError, ConfigKeeper, InForce,
+        ApplyError, ConfigStore, InForce,
         config_draft::{Change, Draft, Proposal, sections_of},
-        config_keeper::{HEAD_KEY, history_key},
+        config_store::{HEAD_KEY, history_key},
     },
     crate::{
         conf::OperatorSettings,
@@ -22,15 +22,15 @@
 };
 
 /// Times that a change is planned anew because another entry's change came in between.
-const RACES_LIMIT: usize = 20;
+const MAX_APPLY_ATTEMPTS: usize = 20;
 /// How long a change waits for those before it at this entry, in milliseconds.
-const TURN_LIMIT_MS: u64 = 5_000;
+const LOCK_TIMEOUT_MS: u64 = 5_000;
 /// Tries to find out whether a write took effect whose reply was lost.
-const SETTLE_TRIES: usize = 10;
+const MAX_RESOLVE_ATTEMPTS: usize = 10;
 /// Time after which finding out is given up, in milliseconds.
-const SETTLE_LIMIT_MS: u64 = 4_000;
+const RESOLVE_TIMEOUT_MS: u64 = 4_000;
 /// Pause between these tries, in milliseconds.
-const SETTLE_PAUSE_MS: u64 = 100;
+const RESOLVE_INTERVAL_MS: u64 = 100;
 
 /// What an accepted change did.
 #[derive(Debug, Clone)]
@@ -52,22 +52,22 @@
 
 /// What became of a write.
 #[derive(Debug, PartialEq, Eq)]
-enum Written {
+enum WriteResult {
     Accepted,
     /// Another change came first; this one had no effect and never will.
-    Raced,
+    Superseded,
 }
 
-impl ConfigKeeper {
+impl ConfigStore {
     /// Puts a change in force; `Ok` only once the platform holds it.
     pub(crate) async fn apply(
         &self,
         operator: &OperatorSettings,
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let result = self.apply_in_turn(operator, change).await;
+        let result = self.apply_serialized(operator, change).await;
         let outcome = match &result {
-            Ok(accepted) if accepted.sections.is_empty() => "unchanged",
+            Ok(applied) if applied.sections.is_empty() => "unchanged",
             Ok(_) => "accepted",
             Err(error) => error.as_str(),
         };
@@ -81,33 +81,33 @@
         owned: &[String],
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let current = self.current().await?;
+        let current = self.read_current().await?;
         let draft = self.draft(owned, change, &current.in_force).await?;
         Ok(AppliedChange {
             differences: current.in_force.document.differences(&draft.document),
-            sections: draft.taken,
+            sections: draft.changed,
             head: current.in_force.head,
         })
     }
 
-    async fn apply_in_turn(
+    async fn apply_serialized(
         &self,
         operator: &OperatorSettings,
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let _turn = self.wait_for_turn().await?;
-        for _ in 0..RACES_LIMIT {
-            let current = self.current().await?;
+        let _guard = self.lock_changes().await?;
+        for _ in 0..MAX_APPLY_ATTEMPTS {
+            let current = self.read_current().await?;
             let draft = self
                 .draft(&operator.sections, change, &current.in_force)
                 .await?;
-            if draft.taken.is_empty() {
+            if draft.changed.is_empty() {
                 return Ok(unchanged(current.in_force.head));
             }
             let differences = current.in_force.document.differences(&draft.document);
             let head = next_head(&current.in_force.head, operator, &draft);
-            let sections = draft.taken.clone();
-            if self.write(&current, &head, draft).await? == Written::Accepted {
+            let sections = draft.changed.clone();
+            if self.write(&current, &head, draft).await? == WriteResult::Accepted {
                 return Ok(AppliedChange {
                     head,
                     sections,
@@ -120,10 +120,13 @@
     }
 
     /// Lets one change of this entry at a time through, so that its own don't race each other.
-    async fn wait_for_turn(&self) -> Result<MutexGuard<'_, ()>, ApplyError> {
-        timeout(Duration::from_millis(TURN_LIMIT_MS), self.turn.lock())
-            .await
-            .map_err(|_| ApplyError::Busy)
+    async fn lock_changes(&self) -> Result<MutexGuard<'_, ()>, ApplyError> {
+        timeout(
+            Duration::from_millis(LOCK_TIMEOUT_MS),
+            self.change_lock.lock(),
+        )
+        .await
+        .map_err(|_| ApplyError::Busy)
     }
 
     /// Reads the head row, and the document unless this entry holds it already; a newer one is in
@@ -131,21 +134,21 @@
     ///
     /// Guards against a configuration that reverts: a head older than the one in force here
     /// shows that the platform lost rows, and nothing is built on it.
-    async fn current(&self) -> Result<Current, ApplyError> {
-        let asked_at = self.timer.now();
+    async fn read_current(&self) -> Result<Current, ApplyError> {
+        let requested_at = self.timer.now();
         let row = self.read_head().await.map_err(ApplyError::Unavailable)?;
-        let held = self.state.in_force().unwrap_or_else(InForce::nothing);
+        let local = self.state.in_force().unwrap_or_else(InForce::empty);
         let (head, row_version) = row.unwrap_or_default();
-        if head.version < held.head.version {
+        if head.version < local.head.version {
             let detail = format!(
                 "the platform's head row went back to version {}",
                 head.version
             );
             return Err(ApplyError::Unavailable(StoreError::Unavailable(detail)));
         }
-        if head == held.head {
+        if head == local.head {
             return Ok(Current {
-                in_force: held,
+                in_force: local,
                 row_version,
             });
         }
@@ -153,7 +156,8 @@
             .read_document_of(head)
             .await
             .map_err(ApplyError::Unavailable)?;
-        self.state.head_read(asked_at, Some(in_force.clone()));
+        self.state
+            .record_head_read(requested_at, Some(in_force.clone()));
         Ok(Current {
             in_force,
             row_version,
@@ -205,39 +209,41 @@
         current: &Current,
         head: &Head,
         draft: Draft,
-    ) -> Result<Written, ApplyError> {
+    ) -> Result<WriteResult, ApplyError> {
         self.put_text(&head.object, &draft.text).await?;
-        let asked_at = self.timer.now();
-        let (in_flight, roster_check) = self
+        let requested_at = self.timer.now();
+        let (change, roster_check) = self
             .state
             .begin_change(head.version, &draft.document)
-            .ok_or_else(not_known_yet)?;
+            .ok_or_else(not_known_to_all)?;
         let transaction = accept_transaction(head, current.row_version, roster_check.clone())?;
-        let written = match self.table.transact(transaction).await {
-            Ok(TransactionOutcome::Committed) => Written::Accepted,
+        let result = match self.table.transact(transaction).await {
+            Ok(TransactionOutcome::Committed) => WriteResult::Accepted,
             Ok(TransactionOutcome::Conflict { key }) if key == roster_check.key => {
-                in_flight.refused();
-                return Err(not_known_yet());
+                change.mark_not_applied();
+                return Err(not_known_to_all());
             }
-            Ok(TransactionOutcome::Conflict { .. }) => Written::Raced,
+            Ok(TransactionOutcome::Conflict { .. }) => WriteResult::Superseded,
             Err(error @ StoreError::Unavailable(_)) => {
-                in_flight.refused();
+                change.mark_not_applied();
                 return Err(ApplyError::Unavailable(error));
             }
-            Err(StoreError::OutcomeUnknown(detail)) => self.settle(current, head, detail).await?,
+            Err(StoreError::OutcomeUnknown(detail)) => {
+                self.resolve_write(current, head, detail).await?
+            }
         };
-        if written == Written::Raced {
-            in_flight.refused();
+        if result == WriteResult::Superseded {
+            change.mark_not_applied();
         }
-        if written == Written::Accepted {
-            let accepted = InForce {
+        if result == WriteResult::Accepted {
+            let in_force = InForce {
                 head: head.clone(),
                 text: draft.text.into(),
                 document: Arc::new(draft.document),
             };
-            self.state.head_read(asked_at, Some(accepted));
+            self.state.record_head_read(requested_at, Some(in_force));
         }
-        Ok(written)
+        Ok(result)
     }
 
     /// Writes the text under its name, which holds its digest: writing it twice does no harm.
@@ -261,35 +267,35 @@
     /// written anew with the value that it had: whichever of the two writes comes first makes
     /// the other's check of the head row's version fail. After that, the history row's presence
     /// says for good what became of the change.
-    async fn settle(
+    async fn resolve_write(
         &self,
         current: &Current,
         head: &Head,
         detail: String,
-    ) -> Result<Written, ApplyError> {
+    ) -> Result<WriteResult, ApplyError> {
         let started_at = self.timer.now();
-        for _ in 0..SETTLE_TRIES {
-            if let Some(written) = self.try_settle(current, head).await {
+        for _ in 0..MAX_RESOLVE_ATTEMPTS {
+            if let Some(result) = self.try_resolve_write(current, head).await {
                 self.metrics
                     .count(Counter::ConfigChanges, "settled_by_reading");
-                return Ok(written);
+                return Ok(result);
             }
-            if self.timer.now().millis_since(started_at) > SETTLE_LIMIT_MS {
+            if self.timer.now().millis_since(started_at) > RESOLVE_TIMEOUT_MS {
                 break;
             }
-            sleep(Duration::from_millis(SETTLE_PAUSE_MS)).await;
+            sleep(Duration::from_millis(RESOLVE_INTERVAL_MS)).await;
         }
         Err(ApplyError::OutcomeUnknown(head.version, detail))
     }
 
-    async fn try_settle(&self, current: &Current, head: &Head) -> Option<Written> {
+    async fn try_resolve_write(&self, current: &Current, head: &Head) -> Option<WriteResult> {
         if let Some(found) = self.read_history_row(head.version).await.ok()? {
-            return Some(became_of(head, Some(&found)));
+            return Some(write_result(head, Some(&found)));
         }
         let fence = fence_transaction(&current.in_force.head, current.row_version).ok()?;
         self.table.transact(fence).await.ok()?;
         let found = self.read_history_row(head.version).await.ok()?;
-        Some(became_of(head, found.as_ref()))
+        Some(write_result(head, found.as_ref()))
     }
 }
 
@@ -302,16 +308,16 @@
 }
 
 /// Other entries don't count this one yet, so they would not ask it what it changed.
-fn not_known_yet() -> ApplyError {
+fn not_known_to_all() -> ApplyError {
     let detail = "not every entry on the roster knows this one yet; use another entry".to_owned();
     ApplyError::Unavailable(StoreError::Unavailable(detail))
 }
 
-fn became_of(head: &Head, found: Option<&Head>) -> Written {
+fn write_result(head: &Head, found: Option<&Head>) -> WriteResult {
     if found == Some(head) {
-        return Written::Accepted;
+        return WriteResult::Accepted;
     }
-    Written::Raced
+    WriteResult::Superseded
 }
 
 /// The head after this change.
@@ -323,7 +329,7 @@
     };
     let digest = blake3::hash(draft.text.as_bytes()).to_hex();
     let object = format!("config-{}-{}", change.version, &digest[..16]);
-    head.next(object, &draft.taken, &change)
+    head.next(object, &draft.changed, &change)
 }
 
 fn unix_ms() -> u64 {
--- a/src/entry/config_draft.rs
+++ b/src/entry/config_draft.rs
@@ -51,7 +51,7 @@
     /// The document.
     pub(crate) document: Document,
     /// The sections that it changes; none if it is in force already.
-    pub(crate) taken: Vec<&'static str>,
+    pub(crate) changed: Vec<&'static str>,
 }
 
 /// An operator's document, and what is needed to merge it into the one in force.
@@ -59,7 +59,7 @@
 pub(crate) struct Proposal<'a> {
     text: &'a str,
     /// The document that the text says by itself, if it breaks no rule.
-    whole: Option<Document>,
+    standalone: Option<Document>,
     based_on: BasedOn,
     sections: Sections<Document>,
     current: Sections<Document>,
@@ -128,7 +128,7 @@
         owned: &'a [String],
     ) -> Result<Self, ApplyError> {
         let rules = change.rules(in_force);
-        let (sections, whole) = match read_document_by(text, &rules) {
+        let (sections, standalone) = match read_document_by(text, &rules) {
             Ok(document) => (sections_of(&document, text), Some(document)),
             Err(faults) => {
                 let document = read_document_by(text, &DocumentRules::Accepted)
@@ -142,7 +142,7 @@
         }
         Ok(Self {
             sections,
-            whole,
+            standalone,
             current: sections_of(&in_force.document, &in_force.text),
             text,
             based_on,
@@ -169,48 +169,48 @@
 
     /// Merges the document into the one in force and checks the result as a whole.
     pub(crate) fn draft(&self, bases: &Sections<Document>) -> Result<Draft, ApplyError> {
-        let taken = self.input().plan(bases).map_err(|refusal| match refusal {
+        let changed = self.input().plan(bases).map_err(|refusal| match refusal {
             ChangeRefusal::Forbidden(section) => ApplyError::Forbidden(section.to_owned()),
             ChangeRefusal::Conflict(conflicts) => {
                 ApplyError::Conflict(self.in_force.head.version, conflicts)
             }
         })?;
-        let text = self.merged_text(&taken);
-        let document = match &self.whole {
-            Some(whole) if text == self.text => whole.clone(),
+        let text = self.merged_text(&changed);
+        let document = match &self.standalone {
+            Some(standalone) if text == self.text => standalone.clone(),
             _ => read_document_by(&text, &self.rules)
-                .map_err(|faults| self.with_lines_of_mine(&text, faults))?,
+                .map_err(|faults| self.with_original_lines(&text, faults))?,
         };
         Ok(Draft {
             text,
             document,
-            taken,
+            changed,
         })
     }
 
     /// The operator's own text if it is the whole result, else a merged one.
-    fn merged_text(&self, taken: &[&'static str]) -> String {
-        let all_mine = SECTIONS.into_iter().all(|section| {
-            taken.contains(&section) || self.sections.get(section) == self.current.get(section)
+    fn merged_text(&self, changed: &[&'static str]) -> String {
+        let is_unmerged = SECTIONS.into_iter().all(|section| {
+            changed.contains(&section) || self.sections.get(section) == self.current.get(section)
         });
-        if all_mine && !taken.is_empty() {
+        if is_unmerged && !changed.is_empty() {
             return self.text.to_owned();
         }
-        merge_sections(&self.in_force.text, self.text, taken)
+        merge_sections(&self.in_force.text, self.text, changed)
     }
 
     /// Faults of a merged text at the lines of the operator's own file, where it has them too.
-    fn with_lines_of_mine(&self, merged: &str, mut faults: Vec<Fault>) -> ApplyError {
+    fn with_original_lines(&self, merged: &str, mut faults: Vec<Fault>) -> ApplyError {
         if merged != self.text {
-            let mine = read_document_by(self.text, &self.rules)
+            let original = read_document_by(self.text, &self.rules)
                 .err()
                 .unwrap_or_default();
             for fault in &mut faults {
-                let same = mine
-                    .iter()
-                    .find(|own| own.field == fault.field && own.message == fault.message);
-                if let Some(own) = same {
-                    fault.line = own.line;
+                let same = original.iter().find(|original_fault| {
+                    original_fault.field == fault.field && original_fault.message == fault.message
+                });
+                if let Some(original_fault) = same {
+                    fault.line = original_fault.line;
                 }
             }
         }
@@ -220,7 +220,7 @@
 
 impl InForce {
     /// Nothing: what stands before the first configuration.
-    pub(crate) fn nothing() -> Self {
+    pub(crate) fn empty() -> Self {
         Self {
             head: Head::default(),
             text: "".into(),
--- a/src/entry/config_keeper.rs
+++ b/src/entry/config_store.rs
@@ -30,7 +30,7 @@
 
 /// Keeps the configuration in force current.
 #[derive(Debug)]
-pub(crate) struct ConfigKeeper {
+pub(crate) struct ConfigStore {
     pub(crate) state: Arc<EntryState>,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) objects: Arc<dyn ObjectStore>,
@@ -38,36 +38,39 @@
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) operators: Vec<OperatorSettings>,
     /// Held by the change that this entry is making.
-    pub(crate) turn: Mutex<()>,
+    pub(crate) change_lock: Mutex<()>,
 }
 
-impl ConfigKeeper {
+impl ConfigStore {
     /// Reads the head row, and the document if the head names a newer one.
     pub(crate) async fn refresh(&self) -> Result<(), StoreError> {
-        let asked_at = self.timer.now();
+        let requested_at = self.timer.now();
         let Some((head, _)) = self.read_head().await? else {
             return Ok(());
         };
-        let held = self.state.in_force().map_or(0, |held| held.head.version);
-        if head.version <= held {
-            self.state.head_read(asked_at, None);
+        let current_version = self
+            .state
+            .in_force()
+            .map_or(0, |current| current.head.version);
+        if head.version <= current_version {
+            self.state.record_head_read(requested_at, None);
             return Ok(());
         }
         let newer = self.read_document_of(head).await?;
-        self.state.head_read(asked_at, Some(newer));
+        self.state.record_head_read(requested_at, Some(newer));
         Ok(())
     }
 
     /// Takes in a configuration that another entry holds and passed on.
-    pub(crate) fn take_passed_on(&self, head: Head, text: &str) {
+    pub(crate) fn apply_forwarded(&self, head: Head, text: &str) {
         match in_force(head, text.to_owned()) {
-            Ok(newer) => self.state.passed_on(newer),
+            Ok(newer) => self.state.apply_forwarded(newer),
             Err(error) => log::warn!(error:% = error; "a configuration passed on is unreadable"),
         }
     }
 
     /// The operator whose token this is.
-    pub(crate) fn operator(&self, token: &str) -> Option<&OperatorSettings> {
+    pub(crate) fn find_operator(&self, token: &str) -> Option<&OperatorSettings> {
         let digest = blake3::hash(token.as_bytes()).to_hex();
         self.operators.iter().find(|operator| {
             operator
--- a/src/entry/digest_exchange.rs
+++ b/src/entry/digest_exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges digests with the other entries and tells agents of changed zones.
 
 use {
-    super::{ConfigKeeper, EntryState, InForce},
+    super::{ConfigStore, EntryState, InForce},
     crate::{
         core::message::{GateNotice, PeerEntry, PeerReply, PeerRequest},
         ports::{Counter, Metrics, PeerNetwork, TimerService},
@@ -19,61 +19,63 @@
 };
 
 /// Pause between digests to each entry, in milliseconds.
-const DIGEST_MS: u64 = 500;
+const DIGEST_INTERVAL_MS: u64 = 500;
 /// Shortest pause, so that a rack of agents that leave at once is told together.
-const SHORTEST_PAUSE_MS: u64 = 20;
+const BATCH_DELAY_MS: u64 = 20;
 /// Time after which a call counts as lost, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 700;
 /// Time after which a document that another entry passes on counts as lost, in milliseconds; a connection that has gone
 /// silent ends sooner.
 const FETCH_TIMEOUT_MS: u64 = 10_000;
 /// Agents told at a time.
-const NOTICES_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_NOTICES: usize = 64;
 
 /// Speaks to the other entries, and to agents.
 #[derive(Debug)]
 pub(crate) struct DigestExchange {
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config_store: Arc<ConfigStore>,
     pub(crate) network: Arc<dyn PeerNetwork>,
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) metrics: Arc<dyn Metrics>,
     /// Entries that are being called now; a slow one is not called again meanwhile.
-    pub(crate) under_way: Mutex<BTreeSet<SocketAddr>>,
+    pub(crate) in_flight: Mutex<BTreeSet<SocketAddr>>,
     /// Held while the configuration is fetched.
-    pub(crate) fetching: tokio::sync::Mutex<()>,
+    pub(crate) fetch_lock: tokio::sync::Mutex<()>,
 }
 
 impl DigestExchange {
     /// Tells the other entries twice a second, and at once when something changed.
-    pub(crate) async fn tell_entries(self: Arc<Self>) {
-        let mut ticks = self.timer.subscribe(DIGEST_MS);
+    pub(crate) async fn send_digests(self: Arc<Self>) {
+        let mut ticks = self.timer.subscribe(DIGEST_INTERVAL_MS);
         loop {
             tokio::select! {
                 tick = ticks.recv() => if tick.is_none() { return },
-                () = self.state.tell_entries.notified() => {
-                    sleep(Duration::from_millis(SHORTEST_PAUSE_MS)).await;
+                () = self.state.digest_wakeup.notified() => {
+                    sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
                 }
             }
             for entry in self.state.other_entries() {
-                if self.lock_under_way().insert(entry.peer_addr) {
+                if self.lock_in_flight().insert(entry.peer_addr) {
                     let exchange = Arc::clone(&self);
-                    tokio::spawn(async move { exchange.tell_entry(entry).await });
+                    tokio::spawn(async move { exchange.send_digest(entry).await });
                 }
             }
         }
     }
 
-    async fn tell_entry(&self, entry: PeerEntry) {
-        let (digest, telling) = self.state.digest_for(entry.entry);
-        let asked_at = self.timer.now();
+    async fn send_digest(&self, entry: PeerEntry) {
+        let (digest, agent_digest) = self.state.build_digest(entry.entry);
+        let requested_at = self.timer.now();
         let mut is_newer = false;
         let outcome = match self
             .call(entry.peer_addr, PeerRequest::Digest(digest))
             .await
         {
             Some(PeerReply::Digest(reply)) if reply.entry == entry.entry => {
-                is_newer = self.state.digest_answered(asked_at, &telling, &reply);
+                is_newer = self
+                    .state
+                    .handle_digest_reply(requested_at, &agent_digest, &reply);
                 "answered"
             }
             // Another process listens at that address: this one's word is not the entry's.
@@ -81,9 +83,9 @@
             None => "no_answer",
         };
         self.metrics.count(Counter::Digests, outcome);
-        self.lock_under_way().remove(&entry.peer_addr);
+        self.lock_in_flight().remove(&entry.peer_addr);
         // Digests to the entry go on meanwhile: they tell that this one lives.
-        if is_newer && let Ok(_turn) = self.fetching.try_lock() {
+        if is_newer && let Ok(_guard) = self.fetch_lock.try_lock() {
             self.fetch_configuration(entry.peer_addr).await;
         }
     }
@@ -95,7 +97,7 @@
     pub(super) async fn fetch_configuration(&self, from: SocketAddr) {
         let fetched = self.call_within(FETCH_TIMEOUT_MS, from, PeerRequest::Configuration);
         if let Some(PeerReply::Configuration(Some((head, text)))) = fetched.await {
-            self.keeper.take_passed_on(head, &text);
+            self.config_store.apply_forwarded(head, &text);
         }
     }
 
@@ -114,8 +116,8 @@
         reply.ok()?.ok()
     }
 
-    fn lock_under_way(&self) -> std::sync::MutexGuard<'_, BTreeSet<SocketAddr>> {
-        self.under_way
+    fn lock_in_flight(&self) -> std::sync::MutexGuard<'_, BTreeSet<SocketAddr>> {
+        self.in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -123,27 +125,27 @@
     /// Tells agents when a change of the configuration opens or closes them.
     ///
     /// Permits lapse without it; being told makes it a matter of milliseconds.
-    pub(crate) async fn tell_agents(self: Arc<Self>) {
-        let slots = Arc::new(Semaphore::new(NOTICES_AT_ONCE));
-        let mut before: Option<InForce> = None;
+    pub(crate) async fn send_gate_notices(self: Arc<Self>) {
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_NOTICES));
+        let mut previous: Option<InForce> = None;
         loop {
-            self.state.tell_agents.notified().await;
-            let now_in_force = self.state.in_force();
-            for (agent, notice) in self.state.gate_notices(before.as_ref()) {
-                let Ok(slot) = Arc::clone(&slots).acquire_owned().await else {
+            self.state.gate_notice_wakeup.notified().await;
+            let current = self.state.in_force();
+            for (agent, notice) in self.state.gate_notices(previous.as_ref()) {
+                let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
                     return;
                 };
                 let exchange = Arc::clone(&self);
                 tokio::spawn(async move {
-                    exchange.tell_agent(agent, notice).await;
-                    drop(slot);
+                    exchange.send_gate_notice(agent, notice).await;
+                    drop(permit);
                 });
             }
-            before = now_in_force;
+            previous = current;
         }
     }
 
-    async fn tell_agent(&self, agent: SocketAddr, notice: GateNotice) {
+    async fn send_gate_notice(&self, agent: SocketAddr, notice: GateNotice) {
         let reply = self.call(agent, PeerRequest::Gate(notice)).await;
         let outcome = if reply.is_some() { "told" } else { "no_answer" };
         self.metrics.count(Counter::GateNotices, outcome);
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -28,7 +28,7 @@
 };
 
 /// For how long the runners of a service are not looked through anew, in milliseconds.
-const RING_MS: u64 = 50;
+const RING_LIFETIME_MS: u64 = 50;
 /// Successors named to a leaving agent.
 const MAX_SUCCESSORS: usize = 3;
 
@@ -46,11 +46,11 @@
 /// What the lock guards.
 #[derive(Debug)]
 pub(super) struct Inner {
-    pub(super) me: PeerEntry,
+    pub(super) local_entry: PeerEntry,
     pub(super) directory: Directory,
     pub(super) digests: DigestLog,
     pub(super) roster: Roster,
-    pub(super) heard_from: BTreeMap<AgentId, Instant>,
+    pub(super) last_heard: BTreeMap<AgentId, Instant>,
     pub(super) gate: ZoneGate,
     pub(super) tickets: TicketOffice,
     pub(super) in_force: Option<InForce>,
@@ -64,9 +64,9 @@
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) outage_limit_ms: u64,
     /// Wakes the exchange of digests before its next tick.
-    pub(super) tell_entries: Notify,
+    pub(super) digest_wakeup: Notify,
     /// Wakes whoever tells agents that their zone was taken out or in.
-    pub(super) tell_agents: Notify,
+    pub(super) gate_notice_wakeup: Notify,
     rings: Mutex<BTreeMap<String, (Instant, RunnerRing)>>,
     inner: Mutex<Inner>,
 }
@@ -89,10 +89,10 @@
         successors
     }
 
-    fn renew_home_choice(&mut self, now: Instant) {
+    fn refresh_home_choice(&mut self, now: Instant) {
         let mut homes = self.tickets.homes(now);
         homes.retain(|home| self.directory.takes_work(now, *home));
-        prefer_open(&mut homes, &self.directory, self.in_force.as_ref());
+        prefer_open_homes(&mut homes, &self.directory, self.in_force.as_ref());
         self.home_choice.refresh(now, homes);
     }
 
@@ -119,7 +119,7 @@
 impl EntryState {
     /// An entry that knows nobody yet.
     pub(crate) fn new(
-        me: PeerEntry,
+        local_entry: PeerEntry,
         timer: Arc<dyn TimerService>,
         outage_limit_ms: u64,
         seed: u64,
@@ -127,15 +127,15 @@
         Self {
             timer,
             outage_limit_ms,
-            tell_entries: Notify::new(),
-            tell_agents: Notify::new(),
+            digest_wakeup: Notify::new(),
+            gate_notice_wakeup: Notify::new(),
             rings: Mutex::default(),
             inner: Mutex::new(Inner {
-                me,
+                local_entry,
                 directory: Directory::default(),
                 digests: DigestLog::default(),
                 roster: Roster::default(),
-                heard_from: BTreeMap::new(),
+                last_heard: BTreeMap::new(),
                 gate: ZoneGate::new(outage_limit_ms),
                 tickets: TicketOffice::default(),
                 in_force: None,
@@ -150,7 +150,7 @@
     }
 
     /// Takes an announcement in and answers it.
-    pub(crate) fn announce(&self, mut announcement: Announcement) -> AnnouncementReply {
+    pub(crate) fn handle_announcement(&self, mut announcement: Announcement) -> AnnouncementReply {
         let now = self.timer.now();
         let mut inner = self.lock();
         match announcement.grant.take() {
@@ -158,18 +158,18 @@
             None => inner.tickets.forget(announcement.agent),
         }
         let successors = inner.successors_of(now, &announcement);
-        let (config_version, zone_open) = inner.verdict_on(&announcement);
+        let (config_version, zone_open) = inner.gate_decision(&announcement);
         let may_grant = zone_open
             && inner
                 .gate
                 .may_grant(now, &announcement.availability_zone, &announcement.worker);
         let roster = inner.roster_for_agents(now);
-        let roster_is_held = announcement.roster_digest == roster_digest(&roster);
+        let has_roster = announcement.roster_digest == roster_digest(&roster);
         if inner.directory.record_announcement(now, announcement) {
-            self.tell_entries.notify_one();
+            self.digest_wakeup.notify_one();
         }
         AnnouncementReply {
-            roster: (!roster_is_held).then_some(roster),
+            roster: (!has_roster).then_some(roster),
             successors,
             config_version,
             zone_open,
@@ -182,33 +182,43 @@
         self.lock().in_force.clone()
     }
 
-    /// Notes that the head row was read at `read_at`, with the document if it is a newer one.
+    /// Notes that the head row was read at `requested_at`, with the document if it is a newer one.
     ///
     /// Guards against a configuration that reverts: readings may cross, so a lower version
     /// than the one in force changes nothing.
-    pub(crate) fn head_read(&self, read_at: Instant, newer: Option<InForce>) {
+    pub(crate) fn record_head_read(&self, requested_at: Instant, newer: Option<InForce>) {
         let mut inner = self.lock();
-        let held = inner.in_force.as_ref().map_or(0, |held| held.head.version);
-        let version = newer.as_ref().map_or(held, |newer| newer.head.version);
-        inner.gate.record_head_read(read_at, version.max(held));
-        self.put_in_force(&mut inner, newer);
+        let current_version = inner
+            .in_force
+            .as_ref()
+            .map_or(0, |current| current.head.version);
+        let version = newer
+            .as_ref()
+            .map_or(current_version, |newer| newer.head.version);
+        inner
+            .gate
+            .record_head_read(requested_at, version.max(current_version));
+        self.set_in_force(&mut inner, newer);
     }
 
     /// Takes in a configuration that another entry holds.
-    pub(crate) fn passed_on(&self, newer: InForce) {
-        self.put_in_force(&mut self.lock(), Some(newer));
+    pub(crate) fn apply_forwarded(&self, newer: InForce) {
+        self.set_in_force(&mut self.lock(), Some(newer));
     }
 
-    fn put_in_force(&self, inner: &mut Inner, newer: Option<InForce>) {
-        let held = inner.in_force.as_ref().map_or(0, |held| held.head.version);
+    fn set_in_force(&self, inner: &mut Inner, newer: Option<InForce>) {
+        let current_version = inner
+            .in_force
+            .as_ref()
+            .map_or(0, |current| current.head.version);
         if let Some(newer) = newer
-            && newer.head.version > held
+            && newer.head.version > current_version
         {
             log::info!(version = newer.head.version; "configuration in force");
             inner.gate.record_version(newer.head.version);
             inner.in_force = Some(newer);
-            self.tell_entries.notify_one();
-            self.tell_agents.notify_one();
+            self.digest_wakeup.notify_one();
+            self.gate_notice_wakeup.notify_one();
         }
     }
 
@@ -217,11 +227,11 @@
         let now = self.timer.now();
         let mut inner = self.lock();
         if inner.home_choice.is_stale(now) {
-            inner.renew_home_choice(now);
+            inner.refresh_home_choice(now);
         }
         let mut minted = inner.mint_from_choice(now, count);
         if minted.len() < count {
-            inner.renew_home_choice(now);
+            inner.refresh_home_choice(now);
             let missing = count - minted.len();
             minted.extend(inner.mint_from_choice(now, missing));
         }
@@ -234,13 +244,13 @@
     }
 
     /// A call to an agent failed.
-    pub(crate) fn call_failed(&self, agent: AgentId) {
+    pub(crate) fn record_call_failure(&self, agent: AgentId) {
         let now = self.timer.now();
         self.lock().directory.call_failed(now, agent);
     }
 
     /// A call to an agent was answered.
-    pub(crate) fn call_answered(&self, agent: AgentId) {
+    pub(crate) fn record_call_success(&self, agent: AgentId) {
         self.lock().directory.call_answered(agent);
     }
 
@@ -268,13 +278,13 @@
 
     /// Runners that could take tasks of a service now, with those that a home looks to first.
     ///
-    /// All runners are looked through anew after [`RING_MS`] only: for each job it would cost
+    /// All runners are looked through anew after [`RING_LIFETIME_MS`] only: for each job it would cost
     /// more than the rest of the job at 1,500 workers. Reports of free slots are a second old.
     pub(crate) fn candidates(&self, name: &str, home: AgentId) -> Vec<Candidate> {
         let now = self.timer.now();
         let mut rings = self.rings.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((made_at, ring)) = rings.get(name)
-            && now.millis_since(*made_at) < RING_MS
+            && now.millis_since(*made_at) < RING_LIFETIME_MS
         {
             return ring.shortlist(home);
         }
@@ -282,9 +292,9 @@
             rings.remove(name);
             return Vec::new();
         };
-        let named = ring.shortlist(home);
+        let shortlist = ring.shortlist(home);
         rings.insert(name.to_owned(), (now, ring));
-        named
+        shortlist
     }
 
     fn runner_ring(&self, now: Instant, name: &str) -> Option<RunnerRing> {
@@ -297,7 +307,7 @@
         let mut homes = inner.tickets.homes(now);
         homes.retain(|home| inner.directory.takes_work(now, *home));
         // The same homes that tickets are minted for: each then has runners of its own.
-        prefer_open(&mut homes, &inner.directory, Some(in_force));
+        prefer_open_homes(&mut homes, &inner.directory, Some(in_force));
         Some(RunnerRing::new(active_homes(homes), runners))
     }
 
@@ -320,13 +330,16 @@
             digests,
             directory,
             roster,
-            heard_from,
-            me,
+            last_heard,
+            local_entry,
             ..
         } = &mut *inner;
-        let members: BTreeSet<AgentId> = roster.others(me.entry).map(|other| other.entry).collect();
+        let members: BTreeSet<AgentId> = roster
+            .others(local_entry.entry)
+            .map(|other| other.entry)
+            .collect();
         digests.expire(directory, |entry| members.contains(&entry));
-        heard_from.retain(|entry, _| members.contains(entry));
+        last_heard.retain(|entry, _| members.contains(entry));
         directory.alive(now).count()
     }
 
@@ -339,7 +352,7 @@
 }
 
 /// Leaves out homes in zones that were taken out, as their hosts may go next; unless all are.
-fn prefer_open(homes: &mut Vec<AgentId>, directory: &Directory, in_force: Option<&InForce>) {
+fn prefer_open_homes(homes: &mut Vec<AgentId>, directory: &Directory, in_force: Option<&InForce>) {
     let Some(in_force) = in_force else {
         return;
     };
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -17,9 +17,9 @@
 };
 
 /// Longest wait of one call to a home; between calls the runners are named anew.
-const CALL_WAIT_MS: u64 = 1_000;
+const MAX_CALL_WAIT_MS: u64 = 1_000;
 /// Pause before a home is called again after a failure.
-const RECALL_PAUSE_MS: u64 = 50;
+const RETRY_INTERVAL_MS: u64 = 50;
 /// Time beyond the wait asked for after which a call counts as lost: its connection answers pings,
 /// but the home behind it does not reply.
 const CALL_GRACE_MS: u64 = 1_500;
@@ -48,14 +48,14 @@
 
 /// Under what a client knows its job.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Identity {
+pub(crate) struct JobIdentity {
     /// The ticket, or the one that the client's key is bound to.
     pub(crate) ticket: Ticket,
     /// Whether it came as a key.
     pub(crate) by_key: bool,
 }
 
-impl Identity {
+impl JobIdentity {
     /// A ticket that the client holds.
     pub(crate) const fn of_ticket(ticket: Ticket) -> Self {
         Self {
@@ -78,7 +78,7 @@
     /// Submits a job under its ticket, or attaches to it, and waits for its end.
     pub(crate) async fn submit(
         &self,
-        identity: Identity,
+        identity: JobIdentity,
         spec: JobSpec,
         wait_ms: u64,
     ) -> JobReport {
@@ -96,7 +96,7 @@
     /// Asks after a job and waits for its end.
     pub(crate) async fn poll(&self, ticket: Ticket, wait_ms: u64) -> JobReport {
         match self
-            .follow(Identity::of_ticket(ticket), None, wait_ms)
+            .follow(JobIdentity::of_ticket(ticket), None, wait_ms)
             .await
         {
             JobReport::Ended(answer) if !answer.is_complete(&ticket.id, answer.outcomes.len()) => {
@@ -112,10 +112,10 @@
         loop {
             match self.call_home(ticket, PeerRequest::Cancel { ticket }).await {
                 Ok(report) => return report,
-                Err(verdict) if self.waited_ms(started_at) >= HOME_UNREACHABLE_MS => {
+                Err(verdict) if self.elapsed_ms(started_at) >= HOME_UNREACHABLE_MS => {
                     return JobReport::Verdict(verdict);
                 }
-                Err(_) => sleep(Duration::from_millis(RECALL_PAUSE_MS)).await,
+                Err(_) => sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await,
             }
         }
     }
@@ -126,7 +126,7 @@
     /// guards against connections that break or go silent while the job runs.
     async fn follow(
         &self,
-        identity: Identity,
+        identity: JobIdentity,
         mut spec: Option<JobSpec>,
         wait_ms: u64,
     ) -> JobReport {
@@ -135,20 +135,20 @@
         let mut service = spec.as_ref().map(|spec| spec.service.clone());
         let mut failing_since = None;
         loop {
-            let waited_ms = self.waited_ms(started_at);
-            let call_wait_ms = wait_ms.saturating_sub(waited_ms).min(CALL_WAIT_MS);
+            let elapsed_ms = self.elapsed_ms(started_at);
+            let call_wait_ms = wait_ms.saturating_sub(elapsed_ms).min(MAX_CALL_WAIT_MS);
             let mut request = self.follow_request(identity, spec.as_ref(), &service, call_wait_ms);
             if let PeerRequest::Submit(submission) = &mut request {
                 // A submission that is sent again has that much less time left.
-                let left_ms = submission.spec.deadline_ms.saturating_sub(waited_ms);
-                submission.spec.deadline_ms = left_ms.max(1);
+                let remaining_ms = submission.spec.deadline_ms.saturating_sub(elapsed_ms);
+                submission.spec.deadline_ms = remaining_ms.max(1);
             }
             match self.call_home(ticket, request).await {
                 Ok(JobReport::Running { ended, total }) => {
                     failing_since = None;
                     // The home has the job: from here on it is only asked after.
                     service = spec.take().map(|spec| spec.service).or(service);
-                    if self.waited_ms(started_at) >= wait_ms {
+                    if self.elapsed_ms(started_at) >= wait_ms {
                         return JobReport::Running { ended, total };
                     }
                 }
@@ -156,11 +156,11 @@
                 Err(verdict) => {
                     self.metrics.count(Counter::Retries, verdict.reason());
                     let since = *failing_since.get_or_insert_with(|| self.timer.now());
-                    let out_of_time = self.waited_ms(started_at) >= wait_ms.max(RECALL_PAUSE_MS);
-                    if self.waited_ms(since) >= HOME_UNREACHABLE_MS || out_of_time {
+                    let out_of_time = self.elapsed_ms(started_at) >= wait_ms.max(RETRY_INTERVAL_MS);
+                    if self.elapsed_ms(since) >= HOME_UNREACHABLE_MS || out_of_time {
                         return JobReport::Verdict(verdict);
                     }
-                    sleep(Duration::from_millis(RECALL_PAUSE_MS)).await;
+                    sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
                 }
             }
         }
@@ -168,7 +168,7 @@
 
     fn follow_request(
         &self,
-        identity: Identity,
+        identity: JobIdentity,
         spec: Option<&JobSpec>,
         service: &Option<String>,
         wait_ms: u64,
@@ -204,21 +204,21 @@
             }
             HomeLocation::Unknown => return Err(home_unreachable()),
         };
-        let limit = Duration::from_millis(CALL_WAIT_MS + CALL_GRACE_MS);
+        let limit = Duration::from_millis(MAX_CALL_WAIT_MS + CALL_GRACE_MS);
         match timeout(limit, self.network.call(addr, request)).await {
             Ok(Ok(PeerReply::Job(status))) => {
-                self.state.call_answered(ticket.id.home);
+                self.state.record_call_success(ticket.id.home);
                 Ok(report(status))
             }
             Ok(Ok(_)) => Err(home_unreachable()),
             Ok(Err(PeerError::Unreachable(_) | PeerError::Lost(_))) | Err(_) => {
-                self.state.call_failed(ticket.id.home);
+                self.state.record_call_failure(ticket.id.home);
                 Err(home_unreachable())
             }
         }
     }
 
-    fn waited_ms(&self, since: crate::core::time::Instant) -> u64 {
+    fn elapsed_ms(&self, since: crate::core::time::Instant) -> u64 {
         self.timer.now().millis_since(since)
     }
 }
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -22,9 +22,9 @@
 };
 
 /// Silence after which agents are no longer told of an entry, in milliseconds.
-const ENTRY_SILENT_MS: u64 = 5_000;
+const ENTRY_TIMEOUT_MS: u64 = 5_000;
 /// Version of an entry's own row: it is written once.
-const ENTRY_ROW_VERSION: u64 = 1;
+const INITIAL_ROW_VERSION: u64 = 1;
 
 /// A change of the configuration under way; an abandoned one counts as of unknown outcome.
 ///
@@ -34,27 +34,30 @@
 pub(crate) struct ChangeInFlight {
     state: Arc<EntryState>,
     id: ChangeId,
-    end: ChangeOutcome,
+    outcome: ChangeOutcome,
 }
 
 impl ChangeInFlight {
     /// The write certainly did not take effect and never will.
-    pub(crate) fn refused(mut self) {
-        self.end = ChangeOutcome::NotApplied;
+    pub(crate) fn mark_not_applied(mut self) {
+        self.outcome = ChangeOutcome::NotApplied;
     }
 }
 
 impl Drop for ChangeInFlight {
     fn drop(&mut self) {
         let now = self.state.timer.now();
-        self.state.lock().gate.finish_change(now, self.id, self.end);
-        self.state.tell_entries.notify_one();
+        self.state
+            .lock()
+            .gate
+            .finish_change(now, self.id, self.outcome);
+        self.state.digest_wakeup.notify_one();
     }
 }
 
 impl Inner {
     /// The version held, and whether tasks may start at the worker that announces itself.
-    pub(super) fn verdict_on(&self, announcement: &Announcement) -> (u64, bool) {
+    pub(super) fn gate_decision(&self, announcement: &Announcement) -> (u64, bool) {
         let Some(in_force) = &self.in_force else {
             return (0, false);
         };
@@ -66,18 +69,18 @@
 
     /// This entry and those heard lately.
     pub(super) fn roster_for_agents(&self, now: Instant) -> Vec<PeerEntry> {
-        let is_heard = |entry: &PeerEntry| {
-            self.heard_from
+        let is_alive = |entry: &PeerEntry| {
+            self.last_heard
                 .get(&entry.entry)
-                .is_some_and(|at| now.millis_since(*at) < ENTRY_SILENT_MS)
+                .is_some_and(|at| now.millis_since(*at) < ENTRY_TIMEOUT_MS)
         };
         let mut roster: Vec<PeerEntry> = self
             .roster
-            .others(self.me.entry)
-            .filter(|entry| is_heard(entry))
+            .others(self.local_entry.entry)
+            .filter(|entry| is_alive(entry))
             .cloned()
             .collect();
-        roster.push(self.me.clone());
+        roster.push(self.local_entry.clone());
         roster.sort();
         roster
     }
@@ -85,14 +88,14 @@
 
 impl EntryState {
     /// This entry as it stands on the roster.
-    pub(crate) fn me(&self) -> PeerEntry {
-        self.lock().me.clone()
+    pub(crate) fn local_entry(&self) -> PeerEntry {
+        self.lock().local_entry.clone()
     }
 
     /// The row by which this entry stands on the roster.
     pub(crate) fn roster_row(&self) -> RosterRow {
         RosterRow {
-            entry: self.me(),
+            entry: self.local_entry(),
             outage_limit_ms: self.outage_limit_ms,
         }
     }
@@ -102,35 +105,35 @@
     /// Guards against a change begun under the old one that lands under the new one's row.
     pub(crate) fn renew_identity(&self, identity: AgentId) {
         let mut inner = self.lock();
-        inner.me.entry = identity;
+        inner.local_entry.entry = identity;
         inner.gate.clear_roster();
     }
 
     /// This entry's row was written by a call sent at `sent_at`.
-    pub(crate) fn row_written(&self, sent_at: Instant) {
+    pub(crate) fn record_row_written(&self, sent_at: Instant) {
         self.lock().gate.record_row_written(sent_at);
     }
 
-    /// Takes in the rows of the roster, scanned at `asked_at`, before the head row was read.
-    pub(crate) fn roster_read(
+    /// Takes in the rows of the roster, scanned at `requested_at`, before the head row was read.
+    pub(crate) fn apply_roster_scan(
         &self,
-        asked_at: Instant,
+        requested_at: Instant,
         rows: Vec<RosterRow>,
-        beats: &BTreeMap<String, u64>,
+        heartbeats: &BTreeMap<String, u64>,
     ) -> RosterScan {
         let now = self.timer.now();
         let mut inner = self.lock();
-        let me = inner.me.clone();
-        let survey = inner.roster.apply_scan(now, &me, rows, beats);
-        if survey.own_row_stands {
+        let local_entry = inner.local_entry.clone();
+        let scan = inner.roster.apply_scan(now, &local_entry, rows, heartbeats);
+        if scan.own_row_stands {
             let others: BTreeSet<AgentId> = inner
                 .roster
-                .others(me.entry)
+                .others(local_entry.entry)
                 .map(|other| other.entry)
                 .collect();
-            inner.gate.record_roster_read(asked_at, &others);
+            inner.gate.record_roster_read(requested_at, &others);
         }
-        survey
+        scan
     }
 
     /// The other entries, once this one stands on the roster.
@@ -139,40 +142,44 @@
         if !inner.gate.knows_roster() {
             return Vec::new();
         }
-        inner.roster.others(inner.me.entry).cloned().collect()
+        inner
+            .roster
+            .others(inner.local_entry.entry)
+            .cloned()
+            .collect()
     }
 
     /// How many entries there are, this one included; `None` until the roster was read.
     pub(crate) fn entry_count(&self) -> Option<u64> {
         let inner = self.lock();
-        let count = inner.roster.others(inner.me.entry).count() as u64 + 1;
+        let count = inner.roster.others(inner.local_entry.entry).count() as u64 + 1;
         inner.gate.knows_roster().then_some(count)
     }
 
     /// What to tell another entry now.
-    pub(crate) fn digest_for(&self, peer: AgentId) -> (Digest, AgentDigest) {
+    pub(crate) fn build_digest(&self, peer: AgentId) -> (Digest, AgentDigest) {
         let now = self.timer.now();
         let mut inner = self.lock();
         let Inner {
             digests, directory, ..
         } = &mut *inner;
-        let mut telling = digests.build_digest(now, peer, directory);
+        let mut agent_digest = digests.build_digest(now, peer, directory);
         let digest = Digest {
-            from: inner.me.clone(),
+            from: inner.local_entry.clone(),
             version: inner.gate.status(now).version,
-            reports: std::mem::take(&mut telling.reports),
-            beats: std::mem::take(&mut telling.beats),
+            reports: std::mem::take(&mut agent_digest.reports),
+            beats: std::mem::take(&mut agent_digest.beats),
         };
-        (digest, telling)
+        (digest, agent_digest)
     }
 
     /// Takes another entry's digest in and answers it.
-    pub(crate) fn digest(&self, digest: Digest) -> DigestReply {
+    pub(crate) fn handle_digest(&self, digest: Digest) -> DigestReply {
         let now = self.timer.now();
         let mut inner = self.lock();
         let from = digest.from.entry;
         inner.gate.add_member(now, from);
-        inner.heard_from.insert(from, now);
+        inner.last_heard.insert(from, now);
         inner
             .roster
             .add_announced(now, digest.from, self.outage_limit_ms);
@@ -190,30 +197,32 @@
             .collect();
         let status = inner.gate.status(now);
         if digest.version > status.version {
-            self.tell_entries.notify_one();
+            self.digest_wakeup.notify_one();
         }
         DigestReply {
-            entry: inner.me.entry,
+            entry: inner.local_entry.entry,
             status,
             unknown,
         }
     }
 
-    /// Takes in an entry's answer to the digest sent at `asked_at`; true if it holds a newer
+    /// Takes in an entry's answer to the digest sent at `requested_at`; true if it holds a newer
     /// configuration than this one.
-    pub(crate) fn digest_answered(
+    pub(crate) fn handle_digest_reply(
         &self,
-        asked_at: Instant,
-        telling: &AgentDigest,
+        requested_at: Instant,
+        agent_digest: &AgentDigest,
         reply: &DigestReply,
     ) -> bool {
         let now = self.timer.now();
         let mut inner = self.lock();
-        inner.heard_from.insert(reply.entry, now);
-        inner.digests.confirm(reply.entry, telling, &reply.unknown);
+        inner.last_heard.insert(reply.entry, now);
+        inner
+            .digests
+            .confirm(reply.entry, agent_digest, &reply.unknown);
         inner
             .gate
-            .record_status(asked_at, reply.entry, reply.status.clone());
+            .record_status(requested_at, reply.entry, reply.status.clone());
         reply.status.version > inner.gate.status(now).version
     }
 
@@ -230,13 +239,13 @@
         let closing = closing(inner.in_force.as_ref(), document);
         let id = inner.gate.begin_change(version, closing);
         let check = Check {
-            key: entry_key(inner.me.entry),
-            version: ENTRY_ROW_VERSION,
+            key: entry_key(inner.local_entry.entry),
+            version: INITIAL_ROW_VERSION,
         };
         let change = ChangeInFlight {
             state: Arc::clone(self),
             id,
-            end: ChangeOutcome::MaybeApplied,
+            outcome: ChangeOutcome::MaybeApplied,
         };
         Some((change, check))
     }
@@ -245,24 +254,24 @@
     pub(crate) fn gate_notices(&self, before: Option<&InForce>) -> Vec<(SocketAddr, GateNotice)> {
         let now = self.timer.now();
         let inner = self.lock();
-        let was_open = |said: &Announcement| {
+        let was_open = |announcement: &Announcement| {
             before.is_some_and(|before| {
                 before
                     .document
-                    .worker_is_open(&said.worker, &said.availability_zone)
+                    .worker_is_open(&announcement.worker, &announcement.availability_zone)
             })
         };
         inner
             .directory
             .announced_here(now, None)
             .map(|view| &view.announcement)
-            .filter_map(|said| {
-                let (config_version, zone_open) = inner.verdict_on(said);
+            .filter_map(|announcement| {
+                let (config_version, zone_open) = inner.gate_decision(announcement);
                 let notice = GateNotice {
                     config_version,
                     zone_open,
                 };
-                (zone_open != was_open(said)).then_some((said.peer_addr, notice))
+                (zone_open != was_open(announcement)).then_some((announcement.peer_addr, notice))
             })
             .collect()
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -4,13 +4,13 @@
 mod claims;
 mod config_change;
 mod config_draft;
-mod config_keeper;
+mod config_store;
 mod digest_exchange;
 mod entry_state;
 mod jobs;
 mod membership;
 mod peer_handler;
-mod roster_keeper;
+mod roster_sync;
 mod run;
 
 #[cfg(test)]
@@ -21,8 +21,8 @@
     claims::Claims,
     config_change::AppliedChange,
     config_draft::{Change, Edit, based_on_all},
-    config_keeper::ConfigKeeper,
+    config_store::ConfigStore,
     entry_state::{EntryState, InForce},
-    jobs::{Identity, JobReport, Jobs},
+    jobs::{JobIdentity, JobReport, Jobs},
     run::run_entry,
 };
--- a/src/entry/peer_handler.rs
+++ b/src/entry/peer_handler.rs
@@ -21,12 +21,14 @@
     async fn call(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Announce(announcement) => {
-                PeerReply::Announced(self.state.announce(announcement))
+                PeerReply::Announced(self.state.handle_announcement(announcement))
             }
-            PeerRequest::Digest(digest) => PeerReply::Digest(self.state.digest(digest)),
+            PeerRequest::Digest(digest) => PeerReply::Digest(self.state.handle_digest(digest)),
             PeerRequest::Configuration => {
-                let held = self.state.in_force();
-                PeerReply::Configuration(held.map(|held| (held.head, held.text.to_string())))
+                let in_force = self.state.in_force();
+                PeerReply::Configuration(
+                    in_force.map(|in_force| (in_force.head, in_force.text.to_string())),
+                )
             }
             PeerRequest::Gate(_)
             | PeerRequest::Submit(_)
--- a/src/entry/roster_keeper.rs
+++ b/src/entry/roster_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps this entry on the roster, and reads the roster and the configuration's head.
 
 use {
-    super::{ConfigKeeper, EntryState},
+    super::{ConfigStore, EntryState},
     crate::{
         core::{
             roster::{ROSTER_PREFIX, Roster, RosterRow, beat_key, entry_key},
@@ -15,27 +15,27 @@
 };
 
 /// Pause between readings of the roster, in milliseconds.
-const SURVEY_MS: u64 = 2_000;
+const SCAN_INTERVAL_MS: u64 = 2_000;
 /// Longest pause between writes of the beat row, in milliseconds.
-const BEAT_MS: u64 = 5_000;
+const MAX_HEARTBEAT_INTERVAL_MS: u64 = 5_000;
 /// Beats written within the time after which the rows may be removed, at least.
-const BEATS_IN_OUTAGE_LIMIT: u64 = 5;
+const MIN_HEARTBEATS_PER_OUTAGE_LIMIT: u64 = 5;
 /// Version of a row that is written once.
-const WRITTEN_ONCE: u64 = 1;
+const INITIAL_ROW_VERSION: u64 = 1;
 
 /// Where this entry stands with the platform.
 #[derive(Debug)]
-pub(crate) struct RosterKeeper {
+pub(crate) struct RosterSync {
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config_store: Arc<ConfigStore>,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) is_registered: bool,
-    pub(crate) beat_at: Option<Instant>,
-    pub(crate) surveyed_at: Option<Instant>,
+    pub(crate) heartbeat_sent_at: Option<Instant>,
+    pub(crate) scanned_at: Option<Instant>,
 }
 
-impl RosterKeeper {
+impl RosterSync {
     /// Calls the platform again and again, one call at a time.
     ///
     /// Guards against calls that pile up on a slow store: the next one begins when the last has
@@ -44,7 +44,7 @@
         let mut ticks = self.timer.subscribe(period_ms);
         let mut reachable = true;
         while ticks.recv().await.is_some() {
-            let result = self.call_platform().await;
+            let result = self.sync().await;
             if result.is_ok() != reachable {
                 reachable = result.is_ok();
                 log::warn!(reachable, error:? = result.err(); "the platform's reachability changed");
@@ -54,24 +54,25 @@
 
     /// One round of calls. The head is read whatever became of the roster's rows: permits rest
     /// on it, and a store may take reads while it takes no writes.
-    async fn call_platform(&mut self) -> Result<(), StoreError> {
+    async fn sync(&mut self) -> Result<(), StoreError> {
         let now = self.timer.now();
-        let stands = self.stand_on_roster(now).await;
-        let is_survey_due = self.is_registered && is_due(now, self.surveyed_at, SURVEY_MS);
-        // A survey reads the head, too.
-        if is_survey_due && self.survey().await.is_ok() {
-            return stands;
+        let registration = self.maintain_registration(now).await;
+        let is_scan_due = self.is_registered && is_due(now, self.scanned_at, SCAN_INTERVAL_MS);
+        // A scan reads the head, too.
+        if is_scan_due && self.scan_roster().await.is_ok() {
+            return registration;
         }
-        stands.and(self.keeper.refresh().await)
+        registration.and(self.config_store.refresh().await)
     }
 
-    async fn stand_on_roster(&mut self, now: Instant) -> Result<(), StoreError> {
+    async fn maintain_registration(&mut self, now: Instant) -> Result<(), StoreError> {
         if !self.is_registered {
             self.register().await?;
         }
-        let beat_ms = BEAT_MS.min(self.state.outage_limit_ms / BEATS_IN_OUTAGE_LIMIT);
-        if is_due(now, self.beat_at, beat_ms) {
-            self.beat().await?;
+        let heartbeat_interval_ms = MAX_HEARTBEAT_INTERVAL_MS
+            .min(self.state.outage_limit_ms / MIN_HEARTBEATS_PER_OUTAGE_LIMIT);
+        if is_due(now, self.heartbeat_sent_at, heartbeat_interval_ms) {
+            self.write_heartbeat().await?;
         }
         Ok(())
     }
@@ -91,8 +92,8 @@
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await {
             Ok(TransactionOutcome::Committed) => {
-                self.state.row_written(sent_at);
-                self.beat_at = Some(sent_at);
+                self.state.record_row_written(sent_at);
+                self.heartbeat_sent_at = Some(sent_at);
                 self.is_registered = true;
                 Ok(())
             }
@@ -105,17 +106,17 @@
         }
     }
 
-    async fn beat(&mut self) -> Result<(), StoreError> {
-        let entry = self.state.me().entry;
+    async fn write_heartbeat(&mut self) -> Result<(), StoreError> {
+        let entry = self.state.local_entry().entry;
         let transaction = Transaction {
-            checks: vec![check(entry_key(entry), WRITTEN_ONCE)],
+            checks: vec![check(entry_key(entry), INITIAL_ROW_VERSION)],
             puts: vec![put(beat_key(entry), Some(String::new()))],
         };
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await? {
             TransactionOutcome::Committed => {
-                self.state.row_written(sent_at);
-                self.beat_at = Some(sent_at);
+                self.state.record_row_written(sent_at);
+                self.heartbeat_sent_at = Some(sent_at);
             }
             TransactionOutcome::Conflict { .. } => self.renew_identity(),
         }
@@ -127,15 +128,15 @@
         log::warn!("this entry was taken off the roster and registers anew");
         self.state.renew_identity(AgentId(rand::rng().random()));
         self.is_registered = false;
-        self.beat_at = None;
-        self.surveyed_at = None;
+        self.heartbeat_sent_at = None;
+        self.scanned_at = None;
     }
 
     /// Reads the roster and then the head row, and removes rows of entries that are gone.
-    async fn survey(&mut self) -> Result<(), StoreError> {
-        let asked_at = self.timer.now();
+    async fn scan_roster(&mut self) -> Result<(), StoreError> {
+        let requested_at = self.timer.now();
         let rows = self.table.scan(ROSTER_PREFIX).await?;
-        let beats: BTreeMap<String, u64> = rows
+        let heartbeats: BTreeMap<String, u64> = rows
             .iter()
             .map(|row| (row.key.clone(), row.version))
             .collect();
@@ -144,26 +145,28 @@
             .filter_map(|row| serde_json::from_str(&row.value).ok())
             .collect();
         // The head must be read after the roster: see `ZoneGate::record_roster_read`.
-        self.keeper.refresh().await?;
-        let survey = self.state.roster_read(asked_at, entries, &beats);
-        self.surveyed_at = Some(asked_at);
-        if !survey.own_row_stands {
+        self.config_store.refresh().await?;
+        let scan = self
+            .state
+            .apply_roster_scan(requested_at, entries, &heartbeats);
+        self.scanned_at = Some(requested_at);
+        if !scan.own_row_stands {
             self.renew_identity();
             return Ok(());
         }
-        for (entry, beat_version) in survey.gone {
+        for (entry, heartbeat_version) in scan.gone {
             log::warn!(entry = entry.0; "an entry that is gone is taken off the roster");
-            self.remove(entry, Some(beat_version)).await?;
+            self.remove_entry(entry, Some(heartbeat_version)).await?;
         }
         Ok(())
     }
 
-    async fn remove(
+    async fn remove_entry(
         &self,
         entry: AgentId,
-        beat_version: Option<u64>,
+        heartbeat_version: Option<u64>,
     ) -> Result<TransactionOutcome, StoreError> {
-        let checks = beat_version.map(|version| check(beat_key(entry), version));
+        let checks = heartbeat_version.map(|version| check(beat_key(entry), version));
         let transaction = Transaction {
             checks: checks.into_iter().collect(),
             puts: Roster::keys(entry).map(|key| put(key, None)).into(),
@@ -173,8 +176,8 @@
 }
 
 /// Takes an entry that stops as planned off the roster.
-pub(crate) async fn leave_roster(state: &EntryState, table: &dyn Table) {
-    let entry = state.me().entry;
+pub(crate) async fn deregister(state: &EntryState, table: &dyn Table) {
+    let entry = state.local_entry().entry;
     let transaction = Transaction {
         checks: Vec::new(),
         puts: Roster::keys(entry).map(|key| put(key, None)).into(),
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        Claims, ConfigKeeper, EntryState, Jobs,
+        Claims, ConfigStore, EntryState, Jobs,
         digest_exchange::DigestExchange,
         peer_handler::EntryPeerHandler,
-        roster_keeper::{RosterKeeper, leave_roster},
+        roster_sync::{RosterSync, deregister},
     },
     crate::{
         adapters::{
@@ -30,10 +30,10 @@
 };
 
 /// Period of housekeeping, in milliseconds.
-const HOUSEKEEPING_MS: u64 = 500;
+const MAINTENANCE_INTERVAL_MS: u64 = 500;
 
 /// Entries assumed until the roster has been read.
-const ENTRIES_ASSUMED: u64 = 4;
+const ASSUMED_ENTRY_COUNT: u64 = 4;
 
 /// The platform and this entry's share of it.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
             reads_per_s: settings.platform_reads_per_s,
             writes_per_s: settings.platform_writes_per_s,
         };
-        let budget = StoreBudget::new(rates, ENTRIES_ASSUMED, rand::rng().random());
+        let budget = StoreBudget::new(rates, ASSUMED_ENTRY_COUNT, rand::rng().random());
         Self {
             store: Arc::new(HttpStore::new(
                 settings.platform,
@@ -85,7 +85,7 @@
     timer: Arc<dyn TimerService>,
     network: Arc<dyn PeerNetwork>,
     state: Arc<EntryState>,
-    keeper: Arc<ConfigKeeper>,
+    config_store: Arc<ConfigStore>,
     platform: Platform,
 }
 
@@ -93,48 +93,48 @@
     fn new(settings: &EntrySettings) -> Result<Self, RunError> {
         let metrics: Arc<dyn Metrics> = Arc::new(OtelMetrics::new().map_err(RunError::metrics)?);
         let timer: Arc<dyn TimerService> = Arc::new(TokioTimer::new());
-        let me = PeerEntry {
+        let local_entry = PeerEntry {
             entry: AgentId(rand::rng().random()),
             name: settings.name.clone(),
             peer_addr: settings.peer_addr,
         };
         let state = Arc::new(EntryState::new(
-            me,
+            local_entry,
             Arc::clone(&timer),
             settings.outage_limit_ms,
             rand::rng().random(),
         ));
         let platform = Platform::new(settings, &timer, &metrics);
         let store = platform.store(Urgency::Urgent);
-        let keeper = Arc::new(ConfigKeeper {
+        let config_store = Arc::new(ConfigStore {
             state: Arc::clone(&state),
             table: store.clone(),
             objects: store,
             timer: Arc::clone(&timer),
             metrics: Arc::clone(&metrics),
             operators: settings.operators.clone(),
-            turn: tokio::sync::Mutex::default(),
+            change_lock: tokio::sync::Mutex::default(),
         });
         Ok(Self {
             network: Arc::new(H2Client::new(Arc::clone(&metrics))),
             metrics,
             timer,
             state,
-            keeper,
+            config_store,
             platform,
         })
     }
 
     /// Keeps this entry on the roster and reads the configuration.
     fn start_roster(&self, head_poll_ms: u64) -> JoinHandle<()> {
-        let roster = RosterKeeper {
+        let roster = RosterSync {
             state: Arc::clone(&self.state),
-            keeper: Arc::clone(&self.keeper),
+            config_store: Arc::clone(&self.config_store),
             table: self.platform.store(Urgency::Urgent),
             timer: Arc::clone(&self.timer),
             is_registered: false,
-            beat_at: None,
-            surveyed_at: None,
+            heartbeat_sent_at: None,
+            scanned_at: None,
         };
         tokio::spawn(roster.run(head_poll_ms))
     }
@@ -143,16 +143,16 @@
     fn start_exchange(&self) {
         let exchange = Arc::new(DigestExchange {
             state: Arc::clone(&self.state),
-            keeper: Arc::clone(&self.keeper),
+            config_store: Arc::clone(&self.config_store),
             network: Arc::clone(&self.network),
             timer: Arc::clone(&self.timer),
             metrics: Arc::clone(&self.metrics),
-            under_way: Mutex::default(),
-            fetching: tokio::sync::Mutex::default(),
+            in_flight: Mutex::default(),
+            fetch_lock: tokio::sync::Mutex::default(),
         });
-        tokio::spawn(Arc::clone(&exchange).tell_entries());
-        tokio::spawn(exchange.tell_agents());
-        tokio::spawn(keep_house(
+        tokio::spawn(Arc::clone(&exchange).send_digests());
+        tokio::spawn(exchange.send_gate_notices());
+        tokio::spawn(run_maintenance(
             Arc::clone(&self.state),
             Arc::clone(&self.timer),
             Arc::clone(&self.metrics),
@@ -180,7 +180,7 @@
             },
             claims: self.start_claims(),
             state: Arc::clone(&self.state),
-            keeper: Arc::clone(&self.keeper),
+            config_store: Arc::clone(&self.config_store),
             metrics: Arc::clone(&self.metrics),
             max_body_bytes: settings.max_body_bytes,
             max_deadline_ms: settings.max_deadline_ms,
@@ -204,18 +204,18 @@
     // A beat that is under way must not bring the rows back.
     roster.abort();
     let store = shared.platform.store(Urgency::Urgent);
-    leave_roster(&shared.state, store.as_ref()).await;
+    deregister(&shared.state, store.as_ref()).await;
     log::info!("entry stopped");
     Ok(())
 }
 
-async fn keep_house(
+async fn run_maintenance(
     state: Arc<EntryState>,
     timer: Arc<dyn TimerService>,
     metrics: Arc<dyn Metrics>,
     budget: Arc<Mutex<StoreBudget>>,
 ) {
-    let mut ticks = timer.subscribe(HOUSEKEEPING_MS);
+    let mut ticks = timer.subscribe(MAINTENANCE_INTERVAL_MS);
     while ticks.recv().await.is_some() {
         let alive = state.expire();
         if let Some(entries) = state.entry_count() {
@@ -225,7 +225,7 @@
                 .set_entry_count(timer.now(), entries);
         }
         metrics.set(Gauge::AgentsAlive, alive as u64);
-        let version = state.in_force().map_or(0, |held| held.head.version);
+        let version = state.in_force().map_or(0, |in_force| in_force.head.version);
         metrics.set(Gauge::ConfigVersion, version);
     }
 }
--- a/src/entry/tests/config/races.rs
+++ b/src/entry/tests/config/concurrent_changes.rs
@@ -1,10 +1,10 @@
 //! Several entries, several operators, a platform that fails: what was accepted stays.
 
 use {
-    super::{FakePlatform, change, in_virtual_time, keeper, operator, values},
+    super::{FakePlatform, change, config_store, in_virtual_time, operator, values},
     crate::{
         core::config::{Head, SECTIONS},
-        entry::{AppliedChange, ApplyError, ConfigKeeper, InForce},
+        entry::{AppliedChange, ApplyError, ConfigStore, InForce},
     },
     proptest::{
         prelude::*,
@@ -15,18 +15,18 @@
 };
 
 /// Versions in force that the race begins with.
-const FIRST: u64 = 1;
+const FIRST_VERSION: u64 = 1;
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
 struct Step {
     after_ms: u64,
     entry: usize,
-    kind: Kind,
+    kind: StepKind,
 }
 
 #[derive(Debug, Clone)]
-enum Kind {
+enum StepKind {
     /// An operator changes these sections of what the entry shows.
     Change([bool; 4]),
     /// The entry reads the head row.
@@ -37,18 +37,18 @@
 
 /// A change that was asked for.
 #[derive(Debug)]
-struct Asked {
+struct ChangeRecord {
     based_on: u64,
     sections: [bool; 4],
     /// `None` if the entry was killed before it answered.
-    answer: Option<Result<AppliedChange, ApplyError>>,
+    result: Option<Result<AppliedChange, ApplyError>>,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let kind = prop_oneof![
-        8 => [prop::bool::weighted(0.4); 4].prop_map(Kind::Change),
-        4 => Just(Kind::Refresh),
-        1 => Just(Kind::Restart),
+        8 => [prop::bool::weighted(0.4); 4].prop_map(StepKind::Change),
+        4 => Just(StepKind::Refresh),
+        1 => Just(StepKind::Restart),
     ];
     let step = (0_u64..400, 0_usize..3, kind).prop_map(|(after_ms, entry, kind)| Step {
         after_ms,
@@ -58,18 +58,18 @@
     prop::collection::vec(step, 1..40)
 }
 
-fn start(platform: &Arc<FakePlatform>) -> Arc<ConfigKeeper> {
-    let keeper = keeper(platform);
-    platform.watch(&keeper.state);
-    keeper
+fn start(platform: &Arc<FakePlatform>) -> Arc<ConfigStore> {
+    let store = config_store(platform);
+    platform.watch_version(&store.state);
+    store
 }
 
 /// Runs the steps and returns each change by its number, which is also the value it writes.
-async fn run(
+async fn run_steps(
     platform: &Arc<FakePlatform>,
     fault_percent: u32,
     steps: Vec<Step>,
-) -> BTreeMap<u32, Asked> {
+) -> BTreeMap<u32, ChangeRecord> {
     let ops = operator("ops", &SECTIONS);
     let mut entries = [start(platform), start(platform), start(platform)];
     entries[0]
@@ -78,15 +78,15 @@
         .expect("no faults yet");
     platform.set_fault_percent(fault_percent);
     let mut running = Vec::new();
-    let mut asked = BTreeMap::new();
+    let mut changes = BTreeMap::new();
     for (number, step) in (1_u32..).zip(steps) {
         sleep(Duration::from_millis(step.after_ms)).await;
         let entry = Arc::clone(&entries[step.entry]);
         match step.kind {
-            Kind::Refresh => {
+            StepKind::Refresh => {
                 tokio::spawn(async move { entry.refresh().await });
             }
-            Kind::Restart => {
+            StepKind::Restart => {
                 for (_, owner, task) in &running {
                     if *owner == step.entry {
                         abort(task);
@@ -94,7 +94,7 @@
                 }
                 entries[step.entry] = start(platform);
             }
-            Kind::Change(sections) => {
+            StepKind::Change(sections) => {
                 let Some(held) = entry.state.in_force() else {
                     continue;
                 };
@@ -107,20 +107,20 @@
                 let operator = ops.clone();
                 let task = tokio::spawn(async move { entry.apply(&operator, &request).await });
                 running.push((number, step.entry, task));
-                let change = Asked {
+                let change = ChangeRecord {
                     based_on,
                     sections,
-                    answer: None,
+                    result: None,
                 };
-                asked.insert(number, change);
+                changes.insert(number, change);
             }
         }
     }
     for (number, _, task) in running {
-        let answer = task.await.ok();
-        asked.get_mut(&number).expect("asked").answer = answer;
+        let result = task.await.ok();
+        changes.get_mut(&number).expect("recorded change").result = result;
     }
-    asked
+    changes
 }
 
 fn abort<T>(task: &tokio::task::JoinHandle<T>) {
@@ -128,9 +128,9 @@
 }
 
 /// Everything that the platform holds once all late writes have landed, by version.
-async fn read_back(platform: &Arc<FakePlatform>) -> (Vec<InForce>, Head) {
+async fn read_history(platform: &Arc<FakePlatform>) -> (Vec<InForce>, Head) {
     sleep(Duration::from_secs(30)).await;
-    platform.heal();
+    platform.clear_faults();
     let reader = start(platform);
     reader.refresh().await.expect("no faults any more");
     let heads = reader.history(1_000).await.expect("history");
@@ -164,45 +164,48 @@
 }
 
 /// Each answer is true.
-fn check_answer(versions: &[InForce], number: u32, asked: &Asked) {
-    let landed = versions.iter().find(|held| {
+fn check_result(versions: &[InForce], number: u32, change: &ChangeRecord) {
+    let applied = versions.iter().find(|held| {
         let held_values = values(&held.document);
         (0..4).any(|index| held_values[index] == number)
     });
-    let changes_nothing = asked.sections == [false; 4];
-    match &asked.answer {
+    let changes_nothing = change.sections == [false; 4];
+    match &change.result {
         Some(Ok(accepted)) if changes_nothing => assert!(accepted.sections.is_empty()),
         Some(Ok(accepted)) => {
-            let landed = landed.expect("accepted, so it is in the history");
-            assert_eq!(landed.head, accepted.head);
-            check_landed(versions, landed, number, asked);
+            let applied = applied.expect("accepted, so it is in the history");
+            assert_eq!(applied.head, accepted.head);
+            check_applied(versions, applied, number, change);
         }
         Some(Err(ApplyError::OutcomeUnknown(version, _))) => {
-            if let Some(landed) = landed {
-                assert_eq!(landed.head.version, *version);
-                check_landed(versions, landed, number, asked);
+            if let Some(applied) = applied {
+                assert_eq!(applied.head.version, *version);
+                check_applied(versions, applied, number, change);
             }
         }
-        Some(Err(error)) => assert!(landed.is_none(), "{error}, yet change {number} landed"),
+        Some(Err(error)) => assert!(
+            applied.is_none(),
+            "{error}, yet change {number} was applied"
+        ),
         None => {
-            if let Some(landed) = landed {
-                check_landed(versions, landed, number, asked);
+            if let Some(applied) = applied {
+                check_applied(versions, applied, number, change);
             }
         }
     }
 }
 
 /// A change lands whole, and overwrites nothing that its operator had not seen.
-fn check_landed(versions: &[InForce], landed: &InForce, number: u32, asked: &Asked) {
-    let held = values(&landed.document);
+fn check_applied(versions: &[InForce], applied: &InForce, number: u32, change: &ChangeRecord) {
+    let held = values(&applied.document);
     for (index, section) in SECTIONS.into_iter().enumerate() {
-        assert_eq!(held[index] == number, asked.sections[index], "{section}");
-        if !asked.sections[index] {
+        assert_eq!(held[index] == number, change.sections[index], "{section}");
+        if !change.sections[index] {
             continue;
         }
         let overwritten = versions.iter().find(|between| {
-            between.head.version > asked.based_on
-                && between.head.version < landed.head.version
+            between.head.version > change.based_on
+                && between.head.version < applied.head.version
                 && between.head.section_version(section) == between.head.version
         });
         assert!(overwritten.is_none(), "change {number} overwrote {section}");
@@ -214,7 +217,7 @@
 /// lets writes land after their callers gave up; entries are slow, stale, killed and replaced.
 /// The cause would be an answer given from anything else than what the platform holds for good.
 #[test]
-fn accepted_is_never_lost_and_refused_never_lands() {
+fn accepted_changes_persist_and_refused_changes_never_apply() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config {
         cases: 400,
@@ -230,13 +233,13 @@
             |(seed, fault_percent, steps)| {
                 in_virtual_time(async {
                     let platform = FakePlatform::new(seed);
-                    let asked = run(&platform, fault_percent, steps).await;
-                    let (versions, head) = read_back(&platform).await;
+                    let changes = run_steps(&platform, fault_percent, steps).await;
+                    let (versions, head) = read_history(&platform).await;
                     check_history(&versions, &head);
-                    assert!(head.version >= FIRST);
-                    for (number, change) in &asked {
-                        check_answer(&versions, *number, change);
-                        let kind = match &change.answer {
+                    assert!(head.version >= FIRST_VERSION);
+                    for (number, change) in &changes {
+                        check_result(&versions, *number, change);
+                        let kind = match &change.result {
                             None => "killed",
                             Some(Ok(_)) => "accepted",
                             Some(Err(error)) => error.as_str(),
--- a/src/entry/tests/config/fake_platform.rs
+++ b/src/entry/tests/config/fake_platform.rs
@@ -1,7 +1,7 @@
 //! The platform's table and object store in memory, with latencies and faults from a seed.
 
 use {
-    super::{CallFault, FAULTS},
+    super::{CallOutcome, FAULTS},
     crate::{
         core::{roster::entry_key, time::Instant},
         entry::EntryState,
@@ -20,16 +20,16 @@
 };
 
 /// After this time a caller gives up.
-const GIVE_UP_MS: u64 = 1_500;
+const CALLER_TIMEOUT_MS: u64 = 1_500;
 
 #[derive(Debug)]
 struct Inner {
     store: PlatformStore,
     rng: ChaCha8Rng,
     fault_percent: u32,
-    planned: VecDeque<CallFault>,
+    scripted: VecDeque<CallOutcome>,
     calls: usize,
-    watched: Vec<(Arc<EntryState>, u64)>,
+    watched_entries: Vec<(Arc<EntryState>, u64)>,
 }
 
 /// A platform that loses replies, refuses, and lets writes land late.
@@ -50,9 +50,9 @@
             store: PlatformStore::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             fault_percent: 0,
-            planned: VecDeque::new(),
+            scripted: VecDeque::new(),
             calls: 0,
-            watched: Vec::new(),
+            watched_entries: Vec::new(),
         };
         Arc::new(Self {
             inner: Arc::new(Mutex::new(inner)),
@@ -64,7 +64,7 @@
     }
 
     /// Writes an entry's row, unless it is there, and lets the entry know.
-    pub(super) fn put_on_roster(&self, state: &EntryState) {
+    pub(super) fn register_entry(&self, state: &EntryState) {
         let row = state.roster_row();
         let key = entry_key(row.entry.entry);
         let value = serde_json::to_string(&row).expect("row");
@@ -79,7 +79,7 @@
             }],
         };
         self.lock().store.transact(write);
-        state.roster_read(Instant::default(), vec![row], &BTreeMap::new());
+        state.apply_roster_scan(Instant::default(), vec![row], &BTreeMap::new());
     }
 
     /// From now on this share of calls goes wrong.
@@ -88,69 +88,75 @@
     }
 
     /// What happens to the next calls, before the share decides again.
-    pub(super) fn plan(&self, faults: &[CallFault]) {
-        self.lock().planned.extend(faults);
+    pub(super) fn script_outcomes(&self, outcomes: &[CallOutcome]) {
+        self.lock().scripted.extend(outcomes);
     }
 
     /// Nothing goes wrong any more.
-    pub(super) fn heal(&self) {
+    pub(super) fn clear_faults(&self) {
         let mut inner = self.lock();
-        inner.planned.clear();
+        inner.scripted.clear();
         inner.fault_percent = 0;
     }
 
     /// Calls since the last time this was asked.
-    pub(super) fn take_calls(&self) -> usize {
+    pub(super) fn drain_call_count(&self) -> usize {
         std::mem::take(&mut self.lock().calls)
     }
 
     /// From now on fails the test when this entry's version in force goes down.
-    pub(super) fn watch(&self, state: &Arc<EntryState>) {
-        self.lock().watched.push((Arc::clone(state), 0));
+    pub(super) fn watch_version(&self, state: &Arc<EntryState>) {
+        self.lock().watched_entries.push((Arc::clone(state), 0));
     }
 
     /// Waits as the network would and decides what goes wrong.
-    async fn begin(&self) -> CallFault {
-        let (latency_ms, fault) = {
+    async fn start_call(&self) -> CallOutcome {
+        let (latency_ms, outcome) = {
             let mut inner = self.lock();
             inner.calls += 1;
             let latency_ms = inner.latency_ms();
-            (latency_ms, inner.next_fault())
+            (latency_ms, inner.next_outcome())
         };
         sleep(Duration::from_millis(latency_ms)).await;
         self.lock().check_watched();
-        if matches!(fault, CallFault::CallLost | CallFault::Late) {
-            sleep(Duration::from_millis(GIVE_UP_MS)).await;
+        if matches!(outcome, CallOutcome::CallLost | CallOutcome::DelayedWrite) {
+            sleep(Duration::from_millis(CALLER_TIMEOUT_MS)).await;
         }
-        fault
+        outcome
     }
 
     async fn read<T>(&self, read: impl FnOnce(&PlatformStore) -> T) -> Result<T, StoreError> {
-        let fault = self.begin().await;
-        match fault {
-            CallFault::Fine => Ok(read(&self.lock().store)),
-            CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
-            CallFault::ReplyLost | CallFault::CallLost | CallFault::Late => Err(lost()),
+        let outcome = self.start_call().await;
+        match outcome {
+            CallOutcome::Success => Ok(read(&self.lock().store)),
+            CallOutcome::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
+            CallOutcome::ReplyLost | CallOutcome::CallLost | CallOutcome::DelayedWrite => {
+                Err(unknown_outcome())
+            }
         }
     }
 
     async fn write(&self, write: Write) -> Result<TransactionOutcome, StoreError> {
-        match self.begin().await {
-            CallFault::Fine => Ok(self.lock().store.take(write)),
-            CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
-            CallFault::ReplyLost => {
-                self.lock().store.take(write);
-                Err(lost())
+        match self.start_call().await {
+            CallOutcome::Success => Ok(self.lock().store.apply_write(write)),
+            CallOutcome::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
+            CallOutcome::ReplyLost => {
+                self.lock().store.apply_write(write);
+                Err(unknown_outcome())
             }
-            CallFault::CallLost => Err(lost()),
-            CallFault::Late => {
+            CallOutcome::CallLost => Err(unknown_outcome()),
+            CallOutcome::DelayedWrite => {
                 let inner = Arc::clone(&self.inner);
                 let delay_ms = self.lock().rng.random_range(0..8_000);
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(delay_ms)).await;
-                    inner.lock().expect("no panic before").store.take(write);
+                    inner
+                        .lock()
+                        .expect("no panic before")
+                        .store
+                        .apply_write(write);
                 });
-                Err(lost())
+                Err(unknown_outcome())
             }
         }
     }
@@ -165,19 +171,19 @@
         }
     }
 
-    fn next_fault(&mut self) -> CallFault {
-        if let Some(fault) = self.planned.pop_front() {
-            return fault;
+    fn next_outcome(&mut self) -> CallOutcome {
+        if let Some(outcome) = self.scripted.pop_front() {
+            return outcome;
         }
         if self.rng.random_range(0..100) >= self.fault_percent {
-            return CallFault::Fine;
+            return CallOutcome::Success;
         }
         FAULTS[self.rng.random_range(0..FAULTS.len())]
     }
 
     fn check_watched(&mut self) {
-        for (state, before) in &mut self.watched {
-            let now = state.in_force().map_or(0, |held| held.head.version);
+        for (state, before) in &mut self.watched_entries {
+            let now = state.in_force().map_or(0, |in_force| in_force.head.version);
             assert!(
                 now >= *before,
                 "the version in force went from {before} to {now}"
@@ -188,7 +194,7 @@
 }
 
 impl PlatformStore {
-    fn take(&mut self, write: Write) -> TransactionOutcome {
+    fn apply_write(&mut self, write: Write) -> TransactionOutcome {
         match write {
             Write::Rows(transaction) => self.transact(transaction),
             Write::Object(name, body) => {
@@ -199,7 +205,7 @@
     }
 }
 
-fn lost() -> StoreError {
+fn unknown_outcome() -> StoreError {
     StoreError::OutcomeUnknown("timed out".to_owned())
 }
 
--- a/src/entry/tests/config/passed_on.rs
+++ b/src/entry/tests/config/forwarded.rs
@@ -1,7 +1,7 @@
 //! Tests of a configuration that another entry passes on.
 
 use {
-    super::{FakePlatform, NoMetrics, PausedTimer, document, in_virtual_time, keeper},
+    super::{FakePlatform, NoMetrics, PausedTimer, config_store, document, in_virtual_time},
     crate::{
         core::{
             config::Head,
@@ -21,18 +21,18 @@
 
 /// Peers on a narrow link: the document takes two seconds.
 #[derive(Debug)]
-struct NarrowNetwork;
+struct SlowNetwork;
 
 #[async_trait]
-impl PeerNetwork for NarrowNetwork {
+impl PeerNetwork for SlowNetwork {
     async fn call(&self, _: SocketAddr, _: PeerRequest) -> Result<PeerReply, PeerError> {
         tokio::time::sleep(Duration::from_secs(2)).await;
         let head = Head {
             version: 1,
             ..Head::default()
         };
-        let passed_on = (head, document([1, 1, 1, 1]));
-        Ok(PeerReply::Configuration(Some(passed_on)))
+        let configuration = (head, document([1, 1, 1, 1]));
+        Ok(PeerReply::Configuration(Some(configuration)))
     }
 
     async fn open_session(
@@ -47,22 +47,22 @@
 
 /// Guards against a document that is fetched over and over because it takes longer than a digest may.
 #[test]
-fn a_document_that_arrives_slowly_is_taken_in() {
+fn a_slowly_fetched_document_is_applied() {
     in_virtual_time(async {
-        let keeper = keeper(&FakePlatform::new(1));
+        let store = config_store(&FakePlatform::new(1));
         let exchange = DigestExchange {
-            state: Arc::clone(&keeper.state),
-            keeper: Arc::clone(&keeper),
-            network: Arc::new(NarrowNetwork),
+            state: Arc::clone(&store.state),
+            config_store: Arc::clone(&store),
+            network: Arc::new(SlowNetwork),
             timer: Arc::new(PausedTimer(tokio::time::Instant::now())),
             metrics: Arc::new(NoMetrics),
-            under_way: Mutex::default(),
-            fetching: tokio::sync::Mutex::default(),
+            in_flight: Mutex::default(),
+            fetch_lock: tokio::sync::Mutex::default(),
         };
         exchange
             .fetch_configuration(([127, 0, 0, 1], 2).into())
             .await;
-        let held = keeper.state.in_force().expect("a configuration");
-        assert_eq!(held.head.version, 1);
+        let in_force = store.state.in_force().expect("a configuration");
+        assert_eq!(in_force.head.version, 1);
     });
 }
--- a/src/entry/tests/config/mod.rs
+++ b/src/entry/tests/config/mod.rs
@@ -1,9 +1,9 @@
-//! Tests of the keeper against a fake platform with faults, in virtual time.
+//! Tests of the store against a fake platform with faults, in virtual time.
 
+mod concurrent_changes;
 mod fake_platform;
-mod passed_on;
-mod races;
-mod single;
+mod forwarded;
+mod single_change;
 
 use {
     crate::{
@@ -14,7 +14,7 @@
             ticket::AgentId,
         },
         entry::{
-            Change, ConfigKeeper, Edit, EntryState, based_on_all,
+            Change, ConfigStore, Edit, EntryState, based_on_all,
             tests::fakes::{NoMetrics, PausedTimer},
         },
         ports::TimerService,
@@ -25,9 +25,9 @@
 
 /// What becomes of a call, as the fake decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallFault {
+enum CallOutcome {
     /// Nothing goes wrong.
-    Fine,
+    Success,
     /// The platform refuses.
     Unavailable,
     /// The reply is lost after the write took effect.
@@ -35,15 +35,15 @@
     /// The call is lost.
     CallLost,
     /// The caller gives up; the write takes effect later.
-    Late,
+    DelayedWrite,
 }
 
 /// All that can go wrong.
-const FAULTS: [CallFault; 4] = [
-    CallFault::Unavailable,
-    CallFault::ReplyLost,
-    CallFault::CallLost,
-    CallFault::Late,
+const FAULTS: [CallOutcome; 4] = [
+    CallOutcome::Unavailable,
+    CallOutcome::ReplyLost,
+    CallOutcome::CallLost,
+    CallOutcome::DelayedWrite,
 ];
 
 fn operator(name: &str, sections: &[&str]) -> OperatorSettings {
@@ -60,23 +60,28 @@
 /// For how long an entry may grant permits without the platform; of no matter here.
 const OUTAGE_LIMIT_MS: u64 = 3_600_000;
 
-fn keeper(platform: &Arc<FakePlatform>) -> Arc<ConfigKeeper> {
+fn config_store(platform: &Arc<FakePlatform>) -> Arc<ConfigStore> {
     let timer: Arc<dyn TimerService> = Arc::new(PausedTimer(tokio::time::Instant::now()));
-    let me = PeerEntry {
+    let local_entry = PeerEntry {
         entry: AgentId(1),
         name: "entry".to_owned(),
         peer_addr: ([127, 0, 0, 1], 1).into(),
     };
-    let state = Arc::new(EntryState::new(me, Arc::clone(&timer), OUTAGE_LIMIT_MS, 1));
-    platform.put_on_roster(&state);
-    Arc::new(ConfigKeeper {
+    let state = Arc::new(EntryState::new(
+        local_entry,
+        Arc::clone(&timer),
+        OUTAGE_LIMIT_MS,
+        1,
+    ));
+    platform.register_entry(&state);
+    Arc::new(ConfigStore {
         state,
         table: Arc::clone(platform) as _,
         objects: Arc::clone(platform) as _,
         timer,
         metrics: Arc::new(NoMetrics),
         operators: vec![operator("ops", &SECTIONS)],
-        turn: tokio::sync::Mutex::default(),
+        change_lock: tokio::sync::Mutex::default(),
     })
 }
 
--- a/src/entry/tests/config/single.rs
+++ b/src/entry/tests/config/single_change.rs
@@ -1,7 +1,7 @@
 //! One change at a time: what each fault is answered with, and what a change costs.
 
 use {
-    super::{CallFault, FakePlatform, change, in_virtual_time, keeper, operator, values},
+    super::{CallOutcome, FakePlatform, change, config_store, in_virtual_time, operator, values},
     crate::{
         core::config::{SECTIONS, ZoneState},
         entry::{ApplyError, Change, Edit},
@@ -10,12 +10,12 @@
     tokio::time::sleep,
 };
 
-macro_rules! one_fault {
+macro_rules! store_fault_cases {
     ($($name:ident: $faults:expr => $outcome:literal, version $version:literal;)+) => {
         $(
             #[test]
             fn $name() {
-                let (outcome, version) = in_virtual_time(change_under(&$faults));
+                let (outcome, version) = in_virtual_time(change_with_faults(&$faults));
                 assert_eq!((outcome.as_str(), version), ($outcome, $version));
             }
         )+
@@ -23,79 +23,82 @@
 }
 
 /// Makes a change under these faults; returns the answer and the version in force for good.
-async fn change_under(faults: &[CallFault]) -> (String, u64) {
+async fn change_with_faults(faults: &[CallOutcome]) -> (String, u64) {
     let platform = FakePlatform::new(1);
-    let entry = keeper(&platform);
+    let entry = config_store(&platform);
     let ops = operator("ops", &SECTIONS);
     entry.apply(&ops, &change([0; 4], 0)).await.expect("first");
-    platform.plan(faults);
-    let answer = match entry.apply(&ops, &change([0, 0, 5, 0], 1)).await {
+    platform.script_outcomes(faults);
+    let outcome = match entry.apply(&ops, &change([0, 0, 5, 0], 1)).await {
         Ok(accepted) => {
-            let held = entry.state.in_force().expect("in force");
-            assert_eq!(held.head, accepted.head, "in force here at once");
+            let in_force = entry.state.in_force().expect("in force");
+            assert_eq!(in_force.head, accepted.head, "in force here at once");
             "accepted"
         }
         Err(error) => error.as_str(),
     };
-    platform.heal();
+    platform.clear_faults();
     sleep(Duration::from_secs(30)).await;
-    let other = keeper(&platform);
+    let other = config_store(&platform);
     other.refresh().await.expect("no faults");
-    let held = other.state.in_force().expect("in force");
-    assert_eq!(values(&held.document)[2] == 5, held.head.version == 2);
-    (answer.to_owned(), held.head.version)
+    let in_force = other.state.in_force().expect("in force");
+    assert_eq!(
+        values(&in_force.document)[2] == 5,
+        in_force.head.version == 2
+    );
+    (outcome.to_owned(), in_force.head.version)
 }
 
 // The calls of a change: read the head row, write the object, move the head.
-one_fault! {
-    nothing_goes_wrong: [] => "accepted", version 2;
-    down_when_the_head_is_read: [CallFault::Unavailable] => "store_unavailable", version 1;
-    down_when_the_object_is_written:
-        [CallFault::Fine, CallFault::Unavailable] => "store_unavailable", version 1;
-    down_when_the_head_moves:
-        [CallFault::Fine, CallFault::Fine, CallFault::Unavailable] => "store_unavailable", version 1;
-    objects_reply_lost: [CallFault::Fine, CallFault::ReplyLost] => "accepted", version 2;
-    objects_call_lost: [CallFault::Fine, CallFault::CallLost] => "store_unavailable", version 1;
-    heads_reply_lost: [CallFault::Fine, CallFault::Fine, CallFault::ReplyLost] => "accepted", version 2;
-    heads_call_lost_is_made_again:
-        [CallFault::Fine, CallFault::Fine, CallFault::CallLost] => "accepted", version 2;
-    head_moves_late_and_is_fenced:
-        [CallFault::Fine, CallFault::Fine, CallFault::Late] => "accepted", version 2;
-    down_after_the_reply_was_lost:
-        [vec![CallFault::Fine, CallFault::Fine, CallFault::ReplyLost], vec![CallFault::Unavailable; 100]].concat()
+store_fault_cases! {
+    accepted_without_faults: [] => "accepted", version 2;
+    refused_when_reading_the_head_fails: [CallOutcome::Unavailable] => "store_unavailable", version 1;
+    refused_when_writing_the_object_fails:
+        [CallOutcome::Success, CallOutcome::Unavailable] => "store_unavailable", version 1;
+    refused_when_writing_the_head_fails:
+        [CallOutcome::Success, CallOutcome::Success, CallOutcome::Unavailable] => "store_unavailable", version 1;
+    accepted_when_the_object_reply_is_lost: [CallOutcome::Success, CallOutcome::ReplyLost] => "accepted", version 2;
+    refused_when_the_object_call_is_lost: [CallOutcome::Success, CallOutcome::CallLost] => "store_unavailable", version 1;
+    accepted_when_the_head_reply_is_lost: [CallOutcome::Success, CallOutcome::Success, CallOutcome::ReplyLost] => "accepted", version 2;
+    retried_when_the_head_call_is_lost:
+        [CallOutcome::Success, CallOutcome::Success, CallOutcome::CallLost] => "accepted", version 2;
+    delayed_head_write_is_fenced_and_retried:
+        [CallOutcome::Success, CallOutcome::Success, CallOutcome::DelayedWrite] => "accepted", version 2;
+    unknown_when_the_head_reply_is_lost_and_reads_fail:
+        [vec![CallOutcome::Success, CallOutcome::Success, CallOutcome::ReplyLost], vec![CallOutcome::Unavailable; 100]].concat()
             => "outcome_unknown", version 2;
-    down_after_the_call_was_lost:
-        [vec![CallFault::Fine, CallFault::Fine, CallFault::CallLost], vec![CallFault::Unavailable; 100]].concat()
+    unknown_when_the_head_call_is_lost_and_reads_fail:
+        [vec![CallOutcome::Success, CallOutcome::Success, CallOutcome::CallLost], vec![CallOutcome::Unavailable; 100]].concat()
             => "outcome_unknown", version 1;
 }
 
 /// The platform allows several hundred writes and two thousand reads a second. A change costs
 /// one read and two writes at the entry that accepts it, and two reads at every other entry.
 #[test]
-fn a_change_costs_three_calls_and_two_at_each_other_entry() {
+fn a_change_costs_three_store_calls_and_two_at_each_other_entry() {
     in_virtual_time(async {
         let platform = FakePlatform::new(2);
-        let (entry, other) = (keeper(&platform), keeper(&platform));
+        let (entry, other) = (config_store(&platform), config_store(&platform));
         let ops = operator("ops", &SECTIONS);
         entry.apply(&ops, &change([0; 4], 0)).await.expect("first");
-        platform.take_calls();
+        platform.drain_call_count();
         entry
             .apply(&ops, &change([1, 0, 0, 0], 1))
             .await
             .expect("change");
-        assert_eq!(platform.take_calls(), 3);
+        assert_eq!(platform.drain_call_count(), 3);
         other.refresh().await.expect("refresh");
-        assert_eq!(platform.take_calls(), 2);
+        assert_eq!(platform.drain_call_count(), 2);
     });
 }
 
 /// The hardware team's document is older than the operators' last change of the zones. Both
 /// land, and the operator who was second in a section is told who was first.
 #[test]
-fn stale_documents_merge_by_section_and_conflicts_name_the_other() {
+fn stale_documents_merge_by_section_and_conflicts_name_the_author() {
     in_virtual_time(async {
         let platform = FakePlatform::new(3);
-        let entry = keeper(&platform);
+        let entry = config_store(&platform);
         let all = operator("ops", &SECTIONS);
         let hardware = operator("hardware", &["capacity"]);
         let zones = operator("night-shift", &["zones"]);
@@ -105,8 +108,8 @@
         let stale = change([9, 0, 0, 0], 1);
         let accepted = entry.apply(&hardware, &stale).await.expect("capacity");
         assert_eq!(accepted.sections, ["capacity"]);
-        let held = entry.state.in_force().expect("in force");
-        assert_eq!(values(&held.document), [9, 0, 7, 0]);
+        let in_force = entry.state.in_force().expect("in force");
+        assert_eq!(values(&in_force.document), [9, 0, 7, 0]);
 
         let again = entry.apply(&hardware, &stale).await.expect("again");
         assert_eq!((again.head.version, again.sections.len()), (3, 0));
@@ -134,10 +137,10 @@
 /// Two sections of a document are changed apart so that the whole no longer holds: one operator
 /// takes a worker away, the other raises a quota to just what was there.
 #[test]
-fn two_sound_changes_that_do_not_fit_together_are_refused() {
+fn a_merge_that_breaks_a_rule_across_sections_is_refused() {
     in_virtual_time(async {
         let platform = FakePlatform::new(4);
-        let entry = keeper(&platform);
+        let entry = config_store(&platform);
         let ops = operator("ops", &SECTIONS);
         let text = super::document([0; 4]);
         entry.apply(&ops, &change([0; 4], 0)).await.expect("first");
@@ -161,10 +164,10 @@
 /// Twenty operators take zones in and out at the same moment through two entries. All land:
 /// each is planned anew on what is in force when its turn comes.
 #[test]
-fn a_burst_of_twenty_zone_changes_lands() {
+fn at_least_half_of_twenty_concurrent_zone_changes_are_accepted() {
     in_virtual_time(async {
         let platform = FakePlatform::new(5);
-        let entries = [keeper(&platform), keeper(&platform)];
+        let entries = [config_store(&platform), config_store(&platform)];
         let ops = operator("ops", &SECTIONS);
         entries[0]
             .apply(&ops, &change([0; 4], 0))
@@ -189,17 +192,17 @@
                 })
             })
             .collect();
-        let mut landed = 0;
+        let mut accepted = 0;
         for task in tasks {
             match task.await.expect("no panic") {
-                Ok(_) => landed += 1,
+                Ok(_) => accepted += 1,
                 Err(ApplyError::Busy) => {}
                 Err(error) => panic!("{error}"),
             }
         }
         assert!(
-            landed >= 10,
-            "{landed} of 20 landed, the rest were told to come again"
+            accepted >= 10,
+            "{accepted} of 20 accepted, the rest refused as busy"
         );
     });
 }
--- a/src/entry/tests/jobs.rs
+++ b/src/entry/tests/jobs.rs
@@ -15,7 +15,7 @@
             verdict::{MayHaveRunReason, Verdict},
         },
         entry::{
-            EntryState, Identity, JobReport, Jobs,
+            EntryState, JobIdentity, JobReport, Jobs,
             tests::fakes::{NoMetrics, PausedTimer},
         },
         ports::{PeerError, PeerNetwork, SessionIo},
@@ -33,16 +33,16 @@
 
 /// What the home, or the connection to it, does with one call.
 #[derive(Debug, Clone)]
-enum Behaviour {
+enum CallBehaviour {
     Reply(JobStatus),
     Lost,
-    Mute,
+    NoReply,
 }
 
 /// A network on which each call behaves as told; the last behaviour stays.
 #[derive(Debug)]
 struct ScriptedNetwork {
-    script: Mutex<VecDeque<Behaviour>>,
+    script: Mutex<VecDeque<CallBehaviour>>,
     calls: Mutex<Vec<PeerRequest>>,
 }
 
@@ -62,9 +62,9 @@
             }
         };
         match behaviour {
-            Some(Behaviour::Reply(status)) => Ok(PeerReply::Job(status)),
-            Some(Behaviour::Lost) => Err(PeerError::Lost("cut".to_owned())),
-            Some(Behaviour::Mute) | None => std::future::pending().await,
+            Some(CallBehaviour::Reply(status)) => Ok(PeerReply::Job(status)),
+            Some(CallBehaviour::Lost) => Err(PeerError::Lost("cut".to_owned())),
+            Some(CallBehaviour::NoReply) | None => std::future::pending().await,
         }
     }
 
@@ -82,16 +82,16 @@
     GrantSecret::new([5; 32]).grant(HOME, 0, 8)
 }
 
-fn jobs(script: Vec<Behaviour>) -> (Jobs, Arc<ScriptedNetwork>) {
+fn jobs(script: Vec<CallBehaviour>) -> (Jobs, Arc<ScriptedNetwork>) {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
-    let me = PeerEntry {
+    let local_entry = PeerEntry {
         entry: AgentId(1),
         name: "entry".to_owned(),
         peer_addr: addr,
     };
     let timer = Arc::new(PausedTimer(tokio::time::Instant::now()));
-    let state = Arc::new(EntryState::new(me, timer.clone(), 3_600_000, 1));
-    state.announce(Announcement {
+    let state = Arc::new(EntryState::new(local_entry, timer.clone(), 3_600_000, 1));
+    state.handle_announcement(Announcement {
         number: 1,
         roster_digest: 0,
         agent: HOME,
@@ -144,8 +144,8 @@
     JobAnswer::new(ticket.id, Verdict::Done, outcomes)
 }
 
-fn ended(answer: JobAnswer) -> Behaviour {
-    Behaviour::Reply(JobStatus::Ended(Arc::new(answer)))
+fn ended(answer: JobAnswer) -> CallBehaviour {
+    CallBehaviour::Reply(JobStatus::Ended(Arc::new(answer)))
 }
 
 fn verdict_of(report: &JobReport) -> Verdict {
@@ -162,7 +162,7 @@
     answer
 }
 
-fn altered(ticket: Ticket) -> JobAnswer {
+fn swapped(ticket: Ticket) -> JobAnswer {
     let mut answer = answer(ticket, 3);
     answer.outcomes.swap(0, 1);
     answer
@@ -178,7 +178,7 @@
                 let ticket = grant().ticket(0);
                 let make: fn(Ticket) -> JobAnswer = $answer;
                 let (jobs, _) = jobs(vec![ended(make(ticket))]);
-                let report = jobs.submit(Identity::of_ticket(ticket), spec(3), 5_000).await;
+                let report = jobs.submit(JobIdentity::of_ticket(ticket), spec(3), 5_000).await;
                 assert_eq!(verdict_of(&report).reason(), MayHaveRunReason::AnswerCorrupt.as_str());
             }
         )+
@@ -186,26 +186,26 @@
 }
 
 corrupt_answer_cases! {
-    a_crossed_answer_is_found: |_| answer(grant().ticket(1), 3);
-    a_truncated_answer_is_found: truncated;
-    an_answer_with_a_task_too_few_is_found: |ticket| answer(ticket, 2);
-    an_answer_with_exchanged_tasks_is_found: altered;
+    an_answer_of_another_job_is_rejected: |_| answer(grant().ticket(1), 3);
+    a_truncated_answer_is_rejected: truncated;
+    an_answer_with_a_missing_task_is_rejected: |ticket| answer(ticket, 2);
+    an_answer_with_swapped_tasks_is_rejected: swapped;
 }
 
 /// The first call's connection breaks after the submission arrived. The entry must call again
 /// under the same ticket, and then only ask after the job.
 #[tokio::test]
-async fn a_lost_call_is_made_again_under_the_same_ticket() {
+async fn a_lost_submission_is_retried_under_the_same_ticket() {
     let ticket = grant().ticket(0);
     let running = JobStatus::Running { ended: 1, total: 3 };
     let script = vec![
-        Behaviour::Lost,
-        Behaviour::Reply(running),
+        CallBehaviour::Lost,
+        CallBehaviour::Reply(running),
         ended(answer(ticket, 3)),
     ];
     let (jobs, network) = jobs(script);
     let report = jobs
-        .submit(Identity::of_ticket(ticket), spec(3), 5_000)
+        .submit(JobIdentity::of_ticket(ticket), spec(3), 5_000)
         .await;
     assert_eq!(verdict_of(&report), Verdict::Done);
     let calls = network.calls.lock().unwrap_or_else(PoisonError::into_inner);
@@ -223,12 +223,12 @@
 /// A home's loop hangs while its connection still answers pings. The client's request would hang
 /// with it, past its deadline and for good; it must hear "may have run" and when to ask again.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_never_replies_does_not_hold_the_client() {
+async fn an_unresponsive_home_does_not_block_the_client() {
     let ticket = grant().ticket(0);
-    let (jobs, _) = jobs(vec![Behaviour::Mute]);
+    let (jobs, _) = jobs(vec![CallBehaviour::NoReply]);
     let report = tokio::time::timeout(
         Duration::from_secs(60),
-        jobs.submit(Identity::of_ticket(ticket), spec(1), 4_000),
+        jobs.submit(JobIdentity::of_ticket(ticket), spec(1), 4_000),
     )
     .await
     .expect("a report");
