--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -228,9 +228,7 @@
                 change.mark_not_applied();
                 return Err(ApplyError::Unavailable(error));
             }
-            Err(StoreError::OutcomeUnknown(detail)) => {
-                self.resolve_write(current, head, detail).await?
-            }
+            Err(StoreError::OutcomeUnknown(detail)) => self.resolve(current, head, detail).await?,
         };
         if result == WriteResult::Superseded {
             change.mark_not_applied();
@@ -267,7 +265,7 @@
     /// written anew with the value that it had: whichever of the two writes comes first makes
     /// the other's check of the head row's version fail. After that, the history row's presence
     /// says for good what became of the change.
-    async fn resolve_write(
+    async fn resolve(
         &self,
         current: &Current,
         head: &Head,
@@ -275,7 +273,7 @@
     ) -> Result<WriteResult, ApplyError> {
         let started_at = self.timer.now();
         for _ in 0..MAX_RESOLVE_ATTEMPTS {
-            if let Some(result) = self.try_resolve_write(current, head).await {
+            if let Some(result) = self.try_resolve(current, head).await {
                 self.metrics
                     .count(Counter::ConfigChanges, "settled_by_reading");
                 return Ok(result);
@@ -288,7 +286,7 @@
         Err(ApplyError::OutcomeUnknown(head.version, detail))
     }
 
-    async fn try_resolve_write(&self, current: &Current, head: &Head) -> Option<WriteResult> {
+    async fn try_resolve(&self, current: &Current, head: &Head) -> Option<WriteResult> {
         if let Some(found) = self.read_history_row(head.version).await.ok()? {
             return Some(write_result(head, Some(&found)));
         }
--- a/src/entry/config_draft.rs
+++ b/src/entry/config_draft.rs
@@ -206,11 +206,11 @@
                 .err()
                 .unwrap_or_default();
             for fault in &mut faults {
-                let same = original.iter().find(|original_fault| {
-                    original_fault.field == fault.field && original_fault.message == fault.message
-                });
-                if let Some(original_fault) = same {
-                    fault.line = original_fault.line;
+                let same = original
+                    .iter()
+                    .find(|own| own.field == fault.field && own.message == fault.message);
+                if let Some(own) = same {
+                    fault.line = own.line;
                 }
             }
         }
--- a/src/entry/tests/config/fake_platform.rs
+++ b/src/entry/tests/config/fake_platform.rs
@@ -1,7 +1,7 @@
 //! The platform's table and object store in memory, with latencies and faults from a seed.
 
 use {
-    super::{CallOutcome, FAULTS},
+    super::{CallFault, FAULTS},
     crate::{
         core::{roster::entry_key, time::Instant},
         entry::EntryState,
@@ -27,7 +27,7 @@
     store: PlatformStore,
     rng: ChaCha8Rng,
     fault_percent: u32,
-    scripted: VecDeque<CallOutcome>,
+    scripted: VecDeque<CallFault>,
     calls: usize,
     watched_entries: Vec<(Arc<EntryState>, u64)>,
 }
@@ -88,8 +88,8 @@
     }
 
     /// What happens to the next calls, before the share decides again.
-    pub(super) fn script_outcomes(&self, outcomes: &[CallOutcome]) {
-        self.lock().scripted.extend(outcomes);
+    pub(super) fn script_faults(&self, faults: &[CallFault]) {
+        self.lock().scripted.extend(faults);
     }
 
     /// Nothing goes wrong any more.
@@ -110,42 +110,40 @@
     }
 
     /// Waits as the network would and decides what goes wrong.
-    async fn start_call(&self) -> CallOutcome {
-        let (latency_ms, outcome) = {
+    async fn start_call(&self) -> CallFault {
+        let (latency_ms, fault) = {
             let mut inner = self.lock();
             inner.calls += 1;
             let latency_ms = inner.latency_ms();
-            (latency_ms, inner.next_outcome())
+            (latency_ms, inner.next_fault())
         };
         sleep(Duration::from_millis(latency_ms)).await;
         self.lock().check_watched();
-        if matches!(outcome, CallOutcome::CallLost | CallOutcome::DelayedWrite) {
+        if matches!(fault, CallFault::CallLost | CallFault::Delayed) {
             sleep(Duration::from_millis(CALLER_TIMEOUT_MS)).await;
         }
-        outcome
+        fault
     }
 
     async fn read<T>(&self, read: impl FnOnce(&PlatformStore) -> T) -> Result<T, StoreError> {
-        let outcome = self.start_call().await;
-        match outcome {
-            CallOutcome::Success => Ok(read(&self.lock().store)),
-            CallOutcome::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
-            CallOutcome::ReplyLost | CallOutcome::CallLost | CallOutcome::DelayedWrite => {
-                Err(unknown_outcome())
-            }
+        let fault = self.start_call().await;
+        match fault {
+            CallFault::None => Ok(read(&self.lock().store)),
+            CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
+            CallFault::ReplyLost | CallFault::CallLost | CallFault::Delayed => Err(timed_out()),
         }
     }
 
     async fn write(&self, write: Write) -> Result<TransactionOutcome, StoreError> {
         match self.start_call().await {
-            CallOutcome::Success => Ok(self.lock().store.apply_write(write)),
-            CallOutcome::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
-            CallOutcome::ReplyLost => {
+            CallFault::None => Ok(self.lock().store.apply_write(write)),
+            CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
+            CallFault::ReplyLost => {
                 self.lock().store.apply_write(write);
-                Err(unknown_outcome())
+                Err(timed_out())
             }
-            CallOutcome::CallLost => Err(unknown_outcome()),
-            CallOutcome::DelayedWrite => {
+            CallFault::CallLost => Err(timed_out()),
+            CallFault::Delayed => {
                 let inner = Arc::clone(&self.inner);
                 let delay_ms = self.lock().rng.random_range(0..8_000);
                 tokio::spawn(async move {
@@ -156,7 +154,7 @@
                         .store
                         .apply_write(write);
                 });
-                Err(unknown_outcome())
+                Err(timed_out())
             }
         }
     }
@@ -171,12 +169,12 @@
         }
     }
 
-    fn next_outcome(&mut self) -> CallOutcome {
-        if let Some(outcome) = self.scripted.pop_front() {
-            return outcome;
+    fn next_fault(&mut self) -> CallFault {
+        if let Some(fault) = self.scripted.pop_front() {
+            return fault;
         }
         if self.rng.random_range(0..100) >= self.fault_percent {
-            return CallOutcome::Success;
+            return CallFault::None;
         }
         FAULTS[self.rng.random_range(0..FAULTS.len())]
     }
@@ -205,7 +203,7 @@
     }
 }
 
-fn unknown_outcome() -> StoreError {
+fn timed_out() -> StoreError {
     StoreError::OutcomeUnknown("timed out".to_owned())
 }
 
--- a/src/entry/tests/config/mod.rs
+++ b/src/entry/tests/config/mod.rs
@@ -25,9 +25,9 @@
 
 /// What becomes of a call, as the fake decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallOutcome {
+enum CallFault {
     /// Nothing goes wrong.
-    Success,
+    None,
     /// The platform refuses.
     Unavailable,
     /// The reply is lost after the write took effect.
@@ -35,15 +35,15 @@
     /// The call is lost.
     CallLost,
     /// The caller gives up; the write takes effect later.
-    DelayedWrite,
+    Delayed,
 }
 
 /// All that can go wrong.
-const FAULTS: [CallOutcome; 4] = [
-    CallOutcome::Unavailable,
-    CallOutcome::ReplyLost,
-    CallOutcome::CallLost,
-    CallOutcome::DelayedWrite,
+const FAULTS: [CallFault; 4] = [
+    CallFault::Unavailable,
+    CallFault::ReplyLost,
+    CallFault::CallLost,
+    CallFault::Delayed,
 ];
 
 fn operator(name: &str, sections: &[&str]) -> OperatorSettings {
--- a/src/entry/tests/config/single_change.rs
+++ b/src/entry/tests/config/single_change.rs
@@ -1,7 +1,7 @@
 //! One change at a time: what each fault is answered with, and what a change costs.
 
 use {
-    super::{CallOutcome, FakePlatform, change, config_store, in_virtual_time, operator, values},
+    super::{CallFault, FakePlatform, change, config_store, in_virtual_time, operator, values},
     crate::{
         core::config::{SECTIONS, ZoneState},
         entry::{ApplyError, Change, Edit},
@@ -23,12 +23,12 @@
 }
 
 /// Makes a change under these faults; returns the answer and the version in force for good.
-async fn change_with_faults(faults: &[CallOutcome]) -> (String, u64) {
+async fn change_with_faults(faults: &[CallFault]) -> (String, u64) {
     let platform = FakePlatform::new(1);
     let entry = config_store(&platform);
     let ops = operator("ops", &SECTIONS);
     entry.apply(&ops, &change([0; 4], 0)).await.expect("first");
-    platform.script_outcomes(faults);
+    platform.script_faults(faults);
     let outcome = match entry.apply(&ops, &change([0, 0, 5, 0], 1)).await {
         Ok(accepted) => {
             let in_force = entry.state.in_force().expect("in force");
@@ -52,23 +52,23 @@
 // The calls of a change: read the head row, write the object, move the head.
 store_fault_cases! {
     accepted_without_faults: [] => "accepted", version 2;
-    refused_when_reading_the_head_fails: [CallOutcome::Unavailable] => "store_unavailable", version 1;
+    refused_when_reading_the_head_fails: [CallFault::Unavailable] => "store_unavailable", version 1;
     refused_when_writing_the_object_fails:
-        [CallOutcome::Success, CallOutcome::Unavailable] => "store_unavailable", version 1;
+        [CallFault::None, CallFault::Unavailable] => "store_unavailable", version 1;
     refused_when_writing_the_head_fails:
-        [CallOutcome::Success, CallOutcome::Success, CallOutcome::Unavailable] => "store_unavailable", version 1;
-    accepted_when_the_object_reply_is_lost: [CallOutcome::Success, CallOutcome::ReplyLost] => "accepted", version 2;
-    refused_when_the_object_call_is_lost: [CallOutcome::Success, CallOutcome::CallLost] => "store_unavailable", version 1;
-    accepted_when_the_head_reply_is_lost: [CallOutcome::Success, CallOutcome::Success, CallOutcome::ReplyLost] => "accepted", version 2;
+        [CallFault::None, CallFault::None, CallFault::Unavailable] => "store_unavailable", version 1;
+    accepted_when_the_object_reply_is_lost: [CallFault::None, CallFault::ReplyLost] => "accepted", version 2;
+    refused_when_the_object_call_is_lost: [CallFault::None, CallFault::CallLost] => "store_unavailable", version 1;
+    accepted_when_the_head_reply_is_lost: [CallFault::None, CallFault::None, CallFault::ReplyLost] => "accepted", version 2;
     retried_when_the_head_call_is_lost:
-        [CallOutcome::Success, CallOutcome::Success, CallOutcome::CallLost] => "accepted", version 2;
+        [CallFault::None, CallFault::None, CallFault::CallLost] => "accepted", version 2;
     delayed_head_write_is_fenced_and_retried:
-        [CallOutcome::Success, CallOutcome::Success, CallOutcome::DelayedWrite] => "accepted", version 2;
+        [CallFault::None, CallFault::None, CallFault::Delayed] => "accepted", version 2;
     unknown_when_the_head_reply_is_lost_and_reads_fail:
-        [vec![CallOutcome::Success, CallOutcome::Success, CallOutcome::ReplyLost], vec![CallOutcome::Unavailable; 100]].concat()
+        [vec![CallFault::None, CallFault::None, CallFault::ReplyLost], vec![CallFault::Unavailable; 100]].concat()
             => "outcome_unknown", version 2;
     unknown_when_the_head_call_is_lost_and_reads_fail:
-        [vec![CallOutcome::Success, CallOutcome::Success, CallOutcome::CallLost], vec![CallOutcome::Unavailable; 100]].concat()
+        [vec![CallFault::None, CallFault::None, CallFault::CallLost], vec![CallFault::Unavailable; 100]].concat()
             => "outcome_unknown", version 1;
 }
 
