--- a/src/entry/apply_error.rs
+++ b/src/entry/apply_error.rs
@@ -1,4 +1,4 @@
-//! Why a change of the configuration was not accepted.
+//! Errors of configuration changes.
 
 use {
     crate::{conf::Fault, core::config::SectionConflict, ports::StoreError},
@@ -6,18 +6,18 @@
 };
 
 quick_error! {
-    /// Why a change was not accepted; all but one say truly that nothing was changed.
+    /// Why a change was refused. Except for `OutcomeUnknown`, nothing was changed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ApplyError {
-        /// The token is of no operator.
+        /// The token belongs to no operator.
         Unauthorized {
-            display("the token is not known")
+            display("unknown operator token")
         }
-        /// The operator's token doesn't cover a section.
+        /// The operator may not change this section.
         Forbidden(section: String) {
             display("the token does not cover section \"{}\"", section)
         }
-        /// The document has faults.
+        /// The document is invalid.
         Invalid(faults: Vec<Fault>) {
             display("the document has {} faults", faults.len())
         }
@@ -25,32 +25,32 @@
         UnknownZone(zone: String) {
             display("no availability zone is named \"{}\"", zone)
         }
-        /// The document can't be based on a version that isn't in the history.
+        /// The base version isn't in the history.
         UnknownBase(version: u64) {
-            display("there is no version {} to be based on", version)
+            display("base version {} is not in the history", version)
         }
-        /// Others changed the same sections since.
+        /// The same sections have changed since the base version.
         Conflict(version: u64, conflicts: Vec<SectionConflict>) {
-            display("{} changed since; version {} is in force", sections(conflicts), version)
+            display("{} has changed since the base version; version {} is in force", sections(conflicts), version)
         }
-        /// Too many changes at once.
+        /// Too many concurrent changes.
         Busy {
-            display("too many changes at once; nothing was changed")
+            display("too many concurrent changes; nothing was changed")
         }
-        /// The platform gave no answer, and nothing was changed.
+        /// The platform is unavailable, and nothing was changed.
         Unavailable(error: StoreError) {
             display("{}; nothing was changed", error)
         }
-        /// The platform's reply was lost and its store could not be read since: the change may
+        /// The platform's reply was lost and the store couldn't be read afterwards: the change may
         /// have been accepted as this version.
         OutcomeUnknown(version: u64, detail: String) {
-            display("{}; version {} may have been accepted: see the history", detail, version)
+            display("{}; version {} may have been accepted: check the history", detail, version)
         }
     }
 }
 
 impl ApplyError {
-    /// The name used in counters and answers.
+    /// Returns the reason used in metrics and responses.
     pub(crate) const fn as_str(&self) -> &'static str {
         match self {
             Self::Unauthorized => "unauthorized",
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Clients' own keys, bound to tickets in the platform's table.
+//! Binds clients' idempotency keys to tickets in the platform's table.
 
 use {
     super::EntryState,
@@ -17,21 +17,20 @@
     tokio::sync::oneshot,
 };
 
-/// When to come back while the store is down, in milliseconds.
+/// Retry delay sent to clients while the store is unavailable, in milliseconds.
 const STORE_RETRY_AFTER_MS: u64 = 2_000;
-/// When to come back while no home grants tickets, in milliseconds.
+/// Retry delay sent to clients while no home grants tickets, in milliseconds.
 const TICKET_RETRY_AFTER_MS: u64 = 500;
-/// When to come back while too many keys wait to be bound, in milliseconds.
+/// Retry delay sent to clients while the claim queue is full, in milliseconds.
 const BUDGET_RETRY_AFTER_MS: u64 = 1_000;
-/// Writes a second that one entry makes for claims, out of several hundred for everybody.
+/// Claim writes per second of one entry; the store's limit for all callers is several hundred.
 const WRITES_PER_S: u32 = 50;
-/// Most keys that wait to be bound: about a second's worth of full writes.
+/// Longest claim queue: about one second of full write batches.
 const MAX_QUEUED_CLAIMS: usize = 2_048;
-/// Most reads of the table under way; what goes beyond is refused.
+/// Reads beyond this number are refused.
 const MAX_CONCURRENT_READS: usize = 256;
-/// Most bindings cached.
 const MAX_CACHED_BINDINGS: usize = 20_000;
-/// Pause between looks at the write budget, in milliseconds.
+/// Interval at which queued claims are checked against the write budget, in milliseconds.
 const PUMP_INTERVAL_MS: u64 = 5;
 
 type ReplySender = oneshot::Sender<Result<Ticket, ClaimFault>>;
@@ -56,7 +55,7 @@
 }
 
 impl Claims {
-    /// No key bound yet.
+    /// Creates an empty queue and cache.
     pub(crate) fn new(
         state: Arc<EntryState>,
         table: Arc<dyn Table>,
@@ -81,7 +80,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Paces the writes until the process ends.
+    /// Submits queued claims at the allowed rate until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = self.timer.subscribe(PUMP_INTERVAL_MS);
         while ticks.recv().await.is_some() {
@@ -90,11 +89,11 @@
         }
     }
 
-    /// The ticket that a team's key is bound to; binds a fresh one if the key is new.
+    /// Returns the ticket that a team's key is bound to; binds a new one if the key is new.
     ///
-    /// Guards against a second start when a client resubmits under its own key through another
-    /// entry: the row is written only if it is absent, and whoever finds it uses its ticket. A
-    /// reply that was lost is settled by reading the row.
+    /// The row is written only if it is absent, so a client that resubmits under the same key
+    /// through another entry gets the same ticket. If the reply to the write is lost, the row is
+    /// read back.
     pub(crate) async fn ticket_for(
         self: &Arc<Self>,
         team: &str,
@@ -117,7 +116,7 @@
         Ok(ticket)
     }
 
-    /// The ticket that a team's key is bound to, if it is.
+    /// Returns the ticket that a team's key is bound to, if any.
     pub(crate) async fn lookup(&self, team: &str, key: &str) -> Result<Option<Ticket>, Verdict> {
         let row = row_key(team, key);
         let cached = self.lock().cache.get(&row).copied();
@@ -127,11 +126,10 @@
         }
     }
 
-    /// Looks for an earlier binding.
+    /// Reads an earlier binding from the table.
     ///
-    /// Guards against a false "not run": while the table can't be read nobody knows whether the
-    /// key was submitted before and its job ran, so the client hears that it may have, and when
-    /// to ask again with the same key.
+    /// If the table can't be read, the key may already be bound and its job may have run, so the
+    /// verdict is "may have run".
     async fn find_binding(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
         let unknown = Verdict::MayHaveRun {
             reason: MayHaveRunReason::StoreUnavailable,
@@ -173,7 +171,7 @@
 
     fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimFault>) {
         if let Some(reply) = self.lock().waiters.remove(&id) {
-            // A client that is gone asks again with the same key.
+            // A client that has disconnected retries with the same key.
             let _ = reply.send(result);
         }
     }
@@ -199,7 +197,7 @@
         Ok(row.and_then(|row| row.value.parse().ok()))
     }
 
-    /// Bindings never change, so a cached one needs no store.
+    /// Caches a binding; bindings never change, so entries are never invalidated.
     fn cache_binding(&self, row: String, ticket: Ticket) {
         let mut inner = self.lock();
         if inner.cache.insert(row.clone(), ticket).is_none() {
@@ -232,7 +230,7 @@
     }
 }
 
-/// The key was read as unbound, so nothing ran under it, and this request's ticket is not used.
+/// The key was read as unbound and the new ticket stays unused, so nothing ran under the key.
 const fn not_bound_verdict(fault: ClaimFault) -> Verdict {
     match fault {
         ClaimFault::QueueFull => Verdict::NotRun {
@@ -246,7 +244,7 @@
     }
 }
 
-/// Team and key are hashed together, so that any text makes a row key of fixed size.
+/// Hashes team and key, so that row keys have a fixed size and charset.
 fn row_key(team: &str, key: &str) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(team.len() as u64).to_le_bytes());
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' changes: plans them, writes them, and settles lost replies.
+//! Applies operators' configuration changes and resolves writes whose reply was lost.
 
 use {
     super::{
@@ -21,45 +21,45 @@
     },
 };
 
-/// Times that a change is planned anew because another entry's change came in between.
+/// Attempts at a change that keeps conflicting with concurrent changes of other entries.
 const MAX_APPLY_ATTEMPTS: usize = 20;
-/// How long a change waits for those before it at this entry, in milliseconds.
+/// How long a change waits for other changes at this entry, in milliseconds.
 const LOCK_TIMEOUT_MS: u64 = 5_000;
-/// Tries to find out whether a write took effect whose reply was lost.
+/// Attempts to resolve a write whose reply was lost.
 const MAX_RESOLVE_ATTEMPTS: usize = 10;
-/// Time after which finding out is given up, in milliseconds.
+/// Time after which the outcome of the write is reported as unknown, in milliseconds.
 const RESOLVE_TIMEOUT_MS: u64 = 4_000;
-/// Pause between these tries, in milliseconds.
+/// Pause between these attempts, in milliseconds.
 const RESOLVE_INTERVAL_MS: u64 = 100;
 
-/// What an accepted change did.
+/// Result of an accepted change.
 #[derive(Debug, Clone)]
 pub(crate) struct AppliedChange {
-    /// The head in force with it.
+    /// The head after the change.
     pub(crate) head: Head,
-    /// The sections that changed; none if the document was in force already.
+    /// The changed sections; empty if the document was already in force.
     pub(crate) sections: Vec<&'static str>,
-    /// What changed, in words.
+    /// Human-readable differences.
     pub(crate) differences: Vec<Difference>,
 }
 
-/// The configuration in force with the version of its head row, zero if there is no row.
+/// The configuration in force and the version of its head row, zero if there is no row.
 #[derive(Debug)]
 struct Current {
     in_force: InForce,
     row_version: u64,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, PartialEq, Eq)]
 enum WriteResult {
     Accepted,
-    /// Another change came first; this one had no effect and never will.
+    /// Another change was written first; this one has no effect and never will.
     Superseded,
 }
 
 impl ConfigStore {
-    /// Puts a change in force; `Ok` only once the platform holds it.
+    /// Applies a change; returns `Ok` only once the platform has stored it.
     pub(crate) async fn apply(
         &self,
         operator: &OperatorSettings,
@@ -75,7 +75,7 @@
         result
     }
 
-    /// What a change would do now, without making it.
+    /// Returns what a change would do now, without applying it.
     pub(crate) async fn preview(
         &self,
         owned: &[String],
@@ -119,7 +119,7 @@
         Err(ApplyError::Busy)
     }
 
-    /// Lets one change of this entry at a time through, so that its own don't race each other.
+    /// Serializes this entry's changes, so that they don't conflict with each other.
     async fn lock_changes(&self) -> Result<MutexGuard<'_, ()>, ApplyError> {
         timeout(
             Duration::from_millis(LOCK_TIMEOUT_MS),
@@ -129,11 +129,11 @@
         .map_err(|_| ApplyError::Busy)
     }
 
-    /// Reads the head row, and the document unless this entry holds it already; a newer one is in
-    /// force here from then on, so that an operator who is told of a conflict can read what came.
+    /// Reads the head row, and its document unless this entry has it already.
     ///
-    /// Guards against a configuration that reverts: a head older than the one in force here
-    /// shows that the platform lost rows, and nothing is built on it.
+    /// A newer document is applied here at once, so that an operator who gets a conflict can read
+    /// the version that caused it. A head older than the one in force here means that the platform
+    /// lost rows; no change is based on it.
     async fn read_current(&self) -> Result<Current, ApplyError> {
         let requested_at = self.timer.now();
         let row = self.read_head().await.map_err(ApplyError::Unavailable)?;
@@ -176,7 +176,7 @@
         proposal.draft(&bases)
     }
 
-    /// Reads sections as they were at earlier versions, each version once.
+    /// Reads sections at earlier versions, each version once.
     async fn read_bases(
         &self,
         needed: &[(&'static str, u64)],
@@ -203,7 +203,7 @@
         Ok(bases)
     }
 
-    /// Writes the object, then moves the head to it in one transaction with its history row.
+    /// Writes the object, then the head and its history row in one transaction.
     async fn write(
         &self,
         current: &Current,
@@ -244,7 +244,7 @@
         Ok(result)
     }
 
-    /// Writes the text under its name, which holds its digest: writing it twice does no harm.
+    /// Writes the text. The object's name contains the text's digest, so the write is idempotent.
     async fn put_text(&self, object: &str, text: &str) -> Result<(), ApplyError> {
         match self.objects.put_object(object, text.to_owned()).await {
             Ok(()) => Ok(()),
@@ -258,13 +258,12 @@
         }
     }
 
-    /// Finds out whether a write took effect whose reply was lost.
+    /// Determines whether a write whose reply was lost took effect.
     ///
-    /// Guards against a refusal that isn't true: a write whose reply was lost may still be under
-    /// way and land after the rows were read. So if its history row isn't there, the head row is
-    /// written anew with the value that it had: whichever of the two writes comes first makes
-    /// the other's check of the head row's version fail. After that, the history row's presence
-    /// says for good what became of the change.
+    /// The write may still be in flight and take effect after a read. So if its history row is
+    /// missing, the head row is rewritten with its old value as a fence: whichever of the two
+    /// writes comes first makes the other's version check fail. After that, the presence of the
+    /// history row is final.
     async fn resolve(
         &self,
         current: &Current,
@@ -305,9 +304,9 @@
     }
 }
 
-/// Other entries don't count this one yet, so they would not ask it what it changed.
+/// Entries that don't know this one yet wouldn't wait for its changes before they grant permits.
 fn not_known_to_all() -> ApplyError {
-    let detail = "not every entry on the roster knows this one yet; use another entry".to_owned();
+    let detail = "not all entries on the roster know this one yet; use another entry".to_owned();
     ApplyError::Unavailable(StoreError::Unavailable(detail))
 }
 
@@ -318,7 +317,7 @@
     WriteResult::Superseded
 }
 
-/// The head after this change.
+/// Returns the head that a change produces.
 fn next_head(head: &Head, operator: &OperatorSettings, draft: &Draft) -> Head {
     let change = SectionHead {
         version: head.version + 1,
@@ -337,8 +336,10 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Guards, by the check of this entry's own row, against a change by an entry that was taken off
-/// the roster while it was paused: others would not ask it any more whether it closed a zone.
+/// Builds the transaction that puts a change in force.
+///
+/// The check of this entry's own row fails if the entry was removed from the roster while it was
+/// paused: other entries no longer wait for its report on closed zones.
 fn accept_transaction(
     head: &Head,
     row_version: u64,
@@ -357,7 +358,7 @@
     })
 }
 
-/// Writes the head row anew with the value that it had.
+/// Rewrites the head row with its old value, which fences earlier writes.
 fn fence_transaction(head: &Head, row_version: u64) -> Result<Transaction, ApplyError> {
     Ok(Transaction {
         checks: vec![head_check(row_version)],
--- a/src/entry/config_draft.rs
+++ b/src/entry/config_draft.rs
@@ -1,4 +1,4 @@
-//! Makes the document that a change would put in force.
+//! Builds the document that a change would put in force.
 
 use {
     super::{ApplyError, InForce},
@@ -15,29 +15,29 @@
     std::collections::BTreeSet,
 };
 
-/// What an operator asks for.
+/// An operator's edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Edit {
-    /// A document that was made from these versions.
+    /// A document edited from these base versions.
     Document {
         /// The document's text.
         text: String,
-        /// The versions that it was made from.
+        /// The base version of each section.
         based_on: BasedOn,
     },
-    /// One availability zone opened or taken out, whatever else has changed.
+    /// Opens or closes one availability zone, regardless of other changes.
     Zone {
         /// The availability zone.
         zone: String,
-        /// What it becomes.
+        /// The zone's new state.
         state: ZoneState,
     },
 }
 
-/// A change as an operator asks for it.
+/// A configuration change requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Change {
-    /// What is to change.
+    /// The requested edit.
     pub(crate) edit: Edit,
     /// Whether the last open availability zone may be closed.
     pub(crate) close_last_zone: bool,
@@ -50,15 +50,15 @@
     pub(crate) text: String,
     /// The document.
     pub(crate) document: Document,
-    /// The sections that it changes; none if it is in force already.
+    /// The changed sections; empty if the document is already in force.
     pub(crate) changed: Vec<&'static str>,
 }
 
-/// An operator's document, and what is needed to merge it into the one in force.
+/// An operator's document and the input for merging it into the one in force.
 #[derive(Debug)]
 pub(crate) struct Proposal<'a> {
     text: &'a str,
-    /// The document that the text says by itself, if it breaks no rule.
+    /// The parsed text, if it is valid without merging.
     standalone: Option<Document>,
     based_on: BasedOn,
     sections: Sections<Document>,
@@ -68,7 +68,7 @@
     rules: DocumentRules,
 }
 
-/// A document's sections, as the plan compares them.
+/// Splits a document into sections for comparison.
 pub(crate) fn sections_of(document: &Document, text: &str) -> Sections<Document> {
     let mut texts = section_texts(text);
     SECTIONS
@@ -84,7 +84,7 @@
 }
 
 impl Change {
-    /// The operator's whole document and the versions it was made from.
+    /// Returns the operator's complete document and its base versions.
     pub(crate) fn document(&self, in_force: &InForce) -> Result<(String, BasedOn), ApplyError> {
         match &self.edit {
             Edit::Document { text, based_on } => {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The rules for the document that this change puts in force.
+    /// Returns the rules that the changed document must meet.
     fn rules(&self, in_force: &InForce) -> DocumentRules {
         if self.close_last_zone {
             return DocumentRules::Whole;
@@ -109,7 +109,7 @@
     }
 }
 
-/// All sections as of one version of the document.
+/// Returns one version as the base of all sections.
 pub(crate) fn based_on_all(version: u64) -> BasedOn {
     SECTIONS
         .into_iter()
@@ -118,8 +118,8 @@
 }
 
 impl<'a> Proposal<'a> {
-    /// Reads an operator's document; its faults of form are found here. One that breaks other
-    /// rules may still do so no longer once it is merged.
+    /// Parses an operator's document; fails if it is malformed. Other rules are checked again after
+    /// the merge, which may fix a violation.
     pub(crate) fn new(
         change: &Change,
         text: &'a str,
@@ -162,12 +162,12 @@
         }
     }
 
-    /// The sections whose text at an earlier version is needed to decide.
+    /// Returns the sections whose text at an earlier version is needed for the merge.
     pub(crate) fn bases_needed(&self) -> Vec<(&'static str, u64)> {
         self.input().bases_needed()
     }
 
-    /// Merges the document into the one in force and checks the result as a whole.
+    /// Merges the document into the one in force and validates the result.
     pub(crate) fn draft(&self, bases: &Sections<Document>) -> Result<Draft, ApplyError> {
         let changed = self.input().plan(bases).map_err(|refusal| match refusal {
             ChangeRefusal::Forbidden(section) => ApplyError::Forbidden(section.to_owned()),
@@ -188,7 +188,7 @@
         })
     }
 
-    /// The operator's own text if it is the whole result, else a merged one.
+    /// Returns the operator's text if merging would not alter its content, else the merged text.
     fn merged_text(&self, changed: &[&'static str]) -> String {
         let is_unmerged = SECTIONS.into_iter().all(|section| {
             changed.contains(&section) || self.sections.get(section) == self.current.get(section)
@@ -199,7 +199,8 @@
         merge_sections(&self.in_force.text, self.text, changed)
     }
 
-    /// Faults of a merged text at the lines of the operator's own file, where it has them too.
+    /// Replaces line numbers of the merged text by those of the operator's file, where it has the
+    /// same fault.
     fn with_original_lines(&self, merged: &str, mut faults: Vec<Fault>) -> ApplyError {
         if merged != self.text {
             let original = read_document_by(self.text, &self.rules)
@@ -219,7 +220,7 @@
 }
 
 impl InForce {
-    /// Nothing: what stands before the first configuration.
+    /// Returns the state before the first configuration.
     pub(crate) fn empty() -> Self {
         Self {
             head: Head::default(),
--- a/src/entry/config_store.rs
+++ b/src/entry/config_store.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration from the platform and keeps the one in force current.
+//! Reads the configuration from the platform.
 
 use {
     super::{EntryState, InForce},
@@ -12,23 +12,23 @@
     tokio::sync::Mutex,
 };
 
-/// Row that names the document in force.
+/// Key of the row that names the document in force.
 pub(super) const HEAD_KEY: &str = "config-head";
-/// Prefix of the rows that keep the heads of all versions, one for each.
+/// Key prefix of the history rows; each stores the head of one version.
 const HISTORY_PREFIX: &str = "config-history-";
 /// Digits of a version in a history row's key.
 const VERSION_DIGITS: usize = 12;
-/// Digits that are left out to read a block of history rows with one scan.
+/// Trailing digits left out of a scan's prefix to read a block of history rows.
 const BLOCK_DIGITS: usize = 2;
-/// Versions in such a block.
+/// Versions in one block.
 const BLOCK_VERSIONS: u64 = 100;
 
-/// The key of a version's history row.
+/// Returns the key of a version's history row.
 pub(super) fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{version:0VERSION_DIGITS$}")
 }
 
-/// Keeps the configuration in force current.
+/// Reads and changes the configuration on the platform.
 #[derive(Debug)]
 pub(crate) struct ConfigStore {
     pub(crate) state: Arc<EntryState>,
@@ -37,12 +37,12 @@
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) operators: Vec<OperatorSettings>,
-    /// Held by the change that this entry is making.
+    /// Held while this entry applies a change.
     pub(crate) change_lock: Mutex<()>,
 }
 
 impl ConfigStore {
-    /// Reads the head row, and the document if the head names a newer one.
+    /// Reads the head row, and the document if it is newer than the one in force here.
     pub(crate) async fn refresh(&self) -> Result<(), StoreError> {
         let requested_at = self.timer.now();
         let Some((head, _)) = self.read_head().await? else {
@@ -61,15 +61,15 @@
         Ok(())
     }
 
-    /// Takes in a configuration that another entry holds and passed on.
+    /// Applies a configuration forwarded by another entry.
     pub(crate) fn apply_forwarded(&self, head: Head, text: &str) {
         match in_force(head, text.to_owned()) {
             Ok(newer) => self.state.apply_forwarded(newer),
-            Err(error) => log::warn!(error:% = error; "a configuration passed on is unreadable"),
+            Err(error) => log::warn!(error:% = error; "a forwarded configuration is invalid"),
         }
     }
 
-    /// The operator whose token this is.
+    /// Returns the operator with this token.
     pub(crate) fn find_operator(&self, token: &str) -> Option<&OperatorSettings> {
         let digest = blake3::hash(token.as_bytes()).to_hex();
         self.operators.iter().find(|operator| {
@@ -81,9 +81,9 @@
         })
     }
 
-    /// The heads of the newest versions, at least `last` if there are as many, oldest first.
+    /// Returns the heads of the newest `last` versions, oldest first.
     ///
-    /// Rows are scanned in blocks, so that a long history isn't read as a whole.
+    /// Scans rows in blocks, so that a long history isn't read completely.
     pub(crate) async fn history(&self, last: u64) -> Result<Vec<Head>, StoreError> {
         let newest = match self.read_head().await? {
             Some((head, _)) => head.version,
@@ -103,7 +103,7 @@
         Ok(heads)
     }
 
-    /// The configuration as it was at a version.
+    /// Returns the configuration at a version.
     pub(crate) async fn at_version(&self, version: u64) -> Result<Option<InForce>, StoreError> {
         match self.read_history_row(version).await? {
             Some(head) => self.read_document_of(head).await.map(Some),
@@ -116,7 +116,7 @@
         row.as_ref().map(decode_head).transpose()
     }
 
-    /// The head with the version of its row; no head yet reads as version zero or no row.
+    /// Returns the head with the version of its row, or `None` before the first configuration.
     pub(super) async fn read_head(&self) -> Result<Option<(Head, u64)>, StoreError> {
         let Some(row) = self.table.get(HEAD_KEY).await? else {
             return Ok(None);
--- a/src/entry/digest_exchange.rs
+++ b/src/entry/digest_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges digests with the other entries and tells agents of changed zones.
+//! Exchanges digests with the other entries and notifies agents of opened and closed zones.
 
 use {
     super::{ConfigStore, EntryState, InForce},
@@ -18,19 +18,18 @@
     },
 };
 
-/// Pause between digests to each entry, in milliseconds.
+/// Interval of digests to each entry, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 500;
-/// Shortest pause, so that a rack of agents that leave at once is told together.
+/// Delay before an early digest, in milliseconds; batches agents of a rack that leave together.
 const BATCH_DELAY_MS: u64 = 20;
-/// Time after which a call counts as lost, in milliseconds.
+/// Timeout of a call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 700;
-/// Time after which a document that another entry passes on counts as lost, in milliseconds; a connection that has gone
-/// silent ends sooner.
+/// Timeout of fetching a document from another entry, in milliseconds; an unresponsive connection
+/// is closed earlier.
 const FETCH_TIMEOUT_MS: u64 = 10_000;
-/// Agents told at a time.
 const MAX_CONCURRENT_NOTICES: usize = 64;
 
-/// Speaks to the other entries, and to agents.
+/// Calls the other entries and agents.
 #[derive(Debug)]
 pub(crate) struct DigestExchange {
     pub(crate) state: Arc<EntryState>,
@@ -38,14 +37,14 @@
     pub(crate) network: Arc<dyn PeerNetwork>,
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) metrics: Arc<dyn Metrics>,
-    /// Entries that are being called now; a slow one is not called again meanwhile.
+    /// Entries with a call in flight; a slow entry gets no second call meanwhile.
     pub(crate) in_flight: Mutex<BTreeSet<SocketAddr>>,
     /// Held while the configuration is fetched.
     pub(crate) fetch_lock: tokio::sync::Mutex<()>,
 }
 
 impl DigestExchange {
-    /// Tells the other entries twice a second, and at once when something changed.
+    /// Sends digests to the other entries periodically, and early after a change.
     pub(crate) async fn send_digests(self: Arc<Self>) {
         let mut ticks = self.timer.subscribe(DIGEST_INTERVAL_MS);
         loop {
@@ -78,22 +77,22 @@
                     .handle_digest_reply(requested_at, &agent_digest, &reply);
                 "answered"
             }
-            // Another process listens at that address: this one's word is not the entry's.
+            // Another process listens at that address; its reply doesn't count.
             Some(_) => "other_process",
             None => "no_answer",
         };
         self.metrics.count(Counter::Digests, outcome);
         self.lock_in_flight().remove(&entry.peer_addr);
-        // Digests to the entry go on meanwhile: they tell that this one lives.
+        // Digests to the entry continue meanwhile and keep this entry alive in its view.
         if is_newer && let Ok(_guard) = self.fetch_lock.try_lock() {
             self.fetch_configuration(entry.peer_addr).await;
         }
     }
 
-    /// Reads the configuration from the entry that holds a newer one.
+    /// Fetches a newer configuration from another entry.
     ///
-    /// Guards against a change that is in force at some entries only when the platform goes
-    /// down right after it: without it no entry could grant permits for the whole outage.
+    /// During an outage of the platform, an entry grants no permits while it knows of a newer
+    /// version elsewhere. A change right before the outage may have reached only some entries.
     pub(super) async fn fetch_configuration(&self, from: SocketAddr) {
         let fetched = self.call_within(FETCH_TIMEOUT_MS, from, PeerRequest::Configuration);
         if let Some(PeerReply::Configuration(Some((head, text)))) = fetched.await {
@@ -122,9 +121,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells agents when a change of the configuration opens or closes them.
+    /// Notifies agents that a configuration change opens or closes.
     ///
-    /// Permits lapse without it; being told makes it a matter of milliseconds.
+    /// Without a notice, an agent's permit expires only after seconds.
     pub(crate) async fn send_gate_notices(self: Arc<Self>) {
         let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_NOTICES));
         let mut previous: Option<InForce> = None;
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows: agents, tickets and the configuration in force.
+//! State of an entry: agents, tickets and the configuration in force.
 
 use {
     crate::{
@@ -27,9 +27,9 @@
     tokio::sync::Notify,
 };
 
-/// For how long the runners of a service are not looked through anew, in milliseconds.
+/// How long a service's runner ring is reused, in milliseconds.
 const RING_LIFETIME_MS: u64 = 50;
-/// Successors named to a leaving agent.
+/// Successors sent to a leaving agent.
 const MAX_SUCCESSORS: usize = 3;
 
 /// The configuration in force at this entry.
@@ -43,7 +43,7 @@
     pub(crate) document: Arc<Document>,
 }
 
-/// What the lock guards.
+/// State behind the lock.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) local_entry: PeerEntry,
@@ -58,21 +58,21 @@
     rng: ChaCha8Rng,
 }
 
-/// Shared by all parts of an entry.
+/// State shared by all parts of an entry.
 #[derive(Debug)]
 pub(crate) struct EntryState {
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) outage_limit_ms: u64,
-    /// Wakes the exchange of digests before its next tick.
+    /// Triggers digests before the next tick.
     pub(super) digest_wakeup: Notify,
-    /// Wakes whoever tells agents that their zone was taken out or in.
+    /// Triggers notices to agents after a configuration change.
     pub(super) gate_notice_wakeup: Notify,
     rings: Mutex<BTreeMap<String, (Instant, RunnerRing)>>,
     inner: Mutex<Inner>,
 }
 
 impl Inner {
-    /// Agents that could take over the homes of a leaving one, in an order of chance.
+    /// Returns agents that could adopt the homes of a leaving one, in random order.
     fn successors_of(&mut self, now: Instant, announcement: &Announcement) -> Vec<SocketAddr> {
         if !announcement.leaving {
             return Vec::new();
@@ -117,7 +117,7 @@
 }
 
 impl EntryState {
-    /// An entry that knows nobody yet.
+    /// Creates the state of an entry without agents, peers or configuration.
     pub(crate) fn new(
         local_entry: PeerEntry,
         timer: Arc<dyn TimerService>,
@@ -149,7 +149,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an announcement in and answers it.
+    /// Handles an agent's announcement.
     pub(crate) fn handle_announcement(&self, mut announcement: Announcement) -> AnnouncementReply {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -177,15 +177,14 @@
         }
     }
 
-    /// The configuration in force, if one has been read.
+    /// Returns the configuration in force, if one has been read.
     pub(crate) fn in_force(&self) -> Option<InForce> {
         self.lock().in_force.clone()
     }
 
-    /// Notes that the head row was read at `requested_at`, with the document if it is a newer one.
+    /// Records a read of the head row, requested at `requested_at`, with a newer document if any.
     ///
-    /// Guards against a configuration that reverts: readings may cross, so a lower version
-    /// than the one in force changes nothing.
+    /// Reads may complete out of order, so a version older than the one in force is ignored.
     pub(crate) fn record_head_read(&self, requested_at: Instant, newer: Option<InForce>) {
         let mut inner = self.lock();
         let current_version = inner
@@ -201,7 +200,7 @@
         self.set_in_force(&mut inner, newer);
     }
 
-    /// Takes in a configuration that another entry holds.
+    /// Applies a configuration forwarded by another entry.
     pub(crate) fn apply_forwarded(&self, newer: InForce) {
         self.set_in_force(&mut self.lock(), Some(newer));
     }
@@ -222,7 +221,7 @@
         }
     }
 
-    /// Mints up to `count` tickets, spread over the homes at random.
+    /// Mints up to `count` tickets, distributed over the homes at random.
     pub(crate) fn mint(&self, count: usize) -> Vec<Ticket> {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -238,23 +237,23 @@
         minted
     }
 
-    /// Where a home is.
+    /// Returns the location of a home.
     pub(crate) fn locate(&self, home: AgentId) -> HomeLocation {
         self.lock().directory.locate(home)
     }
 
-    /// A call to an agent failed.
+    /// Records that a call to an agent failed.
     pub(crate) fn record_call_failure(&self, agent: AgentId) {
         let now = self.timer.now();
         self.lock().directory.call_failed(now, agent);
     }
 
-    /// A call to an agent was answered.
+    /// Records that an agent replied to a call.
     pub(crate) fn record_call_success(&self, agent: AgentId) {
         self.lock().directory.call_answered(agent);
     }
 
-    /// The service's declaration, if the configuration in force has it.
+    /// Returns a service's declaration from the configuration in force.
     pub(crate) fn service(&self, name: &str) -> Result<Service, NotRunReason> {
         let inner = self.lock();
         let in_force = inner
@@ -269,17 +268,17 @@
             .ok_or(NotRunReason::UnknownService)
     }
 
-    /// Whether each task fits on some worker of the configuration in force.
+    /// Returns whether each task fits on some worker of the configuration in force.
     pub(crate) fn fits_somewhere(&self, spec: &JobSpec) -> bool {
         let inner = self.lock();
         let in_force = inner.in_force.as_ref();
         in_force.is_none_or(|in_force| fits_somewhere(&in_force.document, spec))
     }
 
-    /// Runners that could take tasks of a service now, with those that a home looks to first.
+    /// Returns runners with capacity for tasks of a service, including the home's preferred ones.
     ///
-    /// All runners are looked through anew after [`RING_LIFETIME_MS`] only: for each job it would cost
-    /// more than the rest of the job at 1,500 workers. Reports of free slots are a second old.
+    /// The ring is rebuilt only after [`RING_LIFETIME_MS`]: with 1,500 workers, a rebuild costs more
+    /// than the rest of a job's handling, and reports of free slots are up to a second old anyway.
     pub(crate) fn candidates(&self, name: &str, home: AgentId) -> Vec<Candidate> {
         let now = self.timer.now();
         let mut rings = self.rings.lock().unwrap_or_else(PoisonError::into_inner);
@@ -306,12 +305,12 @@
             .candidates(now, &in_force.document, name, service);
         let mut homes = inner.tickets.homes(now);
         homes.retain(|home| inner.directory.takes_work(now, *home));
-        // The same homes that tickets are minted for: each then has runners of its own.
+        // The same homes as in the home choice, so that each has its own runners.
         prefer_open_homes(&mut homes, &inner.directory, Some(in_force));
         Some(RunnerRing::new(active_homes(homes), runners))
     }
 
-    /// The listed agents with their silence in milliseconds.
+    /// Returns the listed agents with the time since their last announcement, in milliseconds.
     pub(crate) fn agents(&self) -> Vec<(Announcement, u64)> {
         let now = self.timer.now();
         self.lock()
@@ -321,7 +320,7 @@
             .collect()
     }
 
-    /// Drops what is out of date and counts who is alive.
+    /// Removes expired state and returns the number of agents alive.
     pub(crate) fn expire(&self) -> usize {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -343,7 +342,7 @@
         directory.alive(now).count()
     }
 
-    /// Whether the entry can serve clients: it holds a configuration and knows a home.
+    /// Returns whether the entry has a configuration and tickets of some home to serve clients.
     pub(crate) fn is_ready(&self) -> bool {
         let now = self.timer.now();
         let inner = self.lock();
@@ -351,7 +350,7 @@
     }
 }
 
-/// Leaves out homes in zones that were taken out, as their hosts may go next; unless all are.
+/// Removes homes in closed zones, whose hosts may stop soon, unless no open home is left.
 fn prefer_open_homes(homes: &mut Vec<AgentId>, directory: &Directory, in_force: Option<&InForce>) {
     let Some(in_force) = in_force else {
         return;
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way to their homes and back.
+//! Forwards jobs to their homes and returns the outcomes.
 
 use {
     super::EntryState,
@@ -16,47 +16,47 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Longest wait of one call to a home; between calls the runners are named anew.
+/// Longest wait of one call to a home, in milliseconds; each call sends a new list of candidates.
 const MAX_CALL_WAIT_MS: u64 = 1_000;
-/// Pause before a home is called again after a failure.
+/// Pause before retrying a failed call to a home, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 50;
-/// Time beyond the wait asked for after which a call counts as lost: its connection answers pings,
-/// but the home behind it does not reply.
+/// Time beyond the requested wait after which a call times out, in milliseconds; needed if the
+/// connection answers pings but the home doesn't reply.
 const CALL_GRACE_MS: u64 = 1_500;
-/// Time after which a home that can't be reached is reported to the client.
+/// Time after which an unreachable home is reported to the client, in milliseconds.
 const HOME_UNREACHABLE_MS: u64 = 2_000;
-/// When the client should ask again after that.
+/// Retry delay sent to the client in that case, in milliseconds.
 const HOME_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What to tell the client about a job.
+/// State of a job as reported to the client.
 #[derive(Debug, Clone)]
 pub(crate) enum JobReport {
     /// The job has ended.
     Ended(Arc<JobAnswer>),
-    /// The client's wait is over before the job is.
+    /// The client's wait ended before the job.
     Running {
-        /// Tasks that have ended so far.
+        /// Number of ended tasks.
         ended: u16,
-        /// Tasks in all.
+        /// Number of tasks.
         total: u16,
     },
-    /// Nothing was ever submitted under this ticket.
+    /// No job was submitted under this ticket.
     Unknown,
-    /// A verdict without an answer.
+    /// A verdict without task outcomes.
     Verdict(Verdict),
 }
 
-/// Under what a client knows its job.
+/// How a client identifies its job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JobIdentity {
     /// The ticket, or the one that the client's key is bound to.
     pub(crate) ticket: Ticket,
-    /// Whether it came as a key.
+    /// Whether the client sent a key.
     pub(crate) by_key: bool,
 }
 
 impl JobIdentity {
-    /// A ticket that the client holds.
+    /// Creates the identity of a job submitted by ticket.
     pub(crate) const fn of_ticket(ticket: Ticket) -> Self {
         Self {
             ticket,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Hands jobs to their homes.
+/// Forwards jobs to their homes.
 #[derive(Debug)]
 pub(crate) struct Jobs {
     pub(crate) state: Arc<EntryState>,
@@ -75,7 +75,7 @@
 }
 
 impl Jobs {
-    /// Submits a job under its ticket, or attaches to it, and waits for its end.
+    /// Submits a job, or attaches to it if it was submitted before, and waits for its end.
     pub(crate) async fn submit(
         &self,
         identity: JobIdentity,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Asks after a job and waits for its end.
+    /// Waits for the end of a submitted job.
     pub(crate) async fn poll(&self, ticket: Ticket, wait_ms: u64) -> JobReport {
         match self
             .follow(JobIdentity::of_ticket(ticket), None, wait_ms)
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Gives a job up and returns its final answer.
+    /// Cancels a job and returns its final state.
     pub(crate) async fn cancel(&self, ticket: Ticket) -> JobReport {
         let started_at = self.timer.now();
         loop {
@@ -120,10 +120,9 @@
         }
     }
 
-    /// Calls the home again and again until the job ends or the wait is over.
+    /// Calls the home repeatedly until the job ends or the wait is over.
     ///
-    /// Every call is idempotent under the ticket, so a lost call is simply made again: this
-    /// guards against connections that break or go silent while the job runs.
+    /// Calls are idempotent under the ticket, so a failed or timed-out call is retried.
     async fn follow(
         &self,
         identity: JobIdentity,
@@ -139,14 +138,14 @@
             let call_wait_ms = wait_ms.saturating_sub(elapsed_ms).min(MAX_CALL_WAIT_MS);
             let mut request = self.follow_request(identity, spec.as_ref(), &service, call_wait_ms);
             if let PeerRequest::Submit(submission) = &mut request {
-                // A submission that is sent again has that much less time left.
+                // A retried submission has less time left.
                 let remaining_ms = submission.spec.deadline_ms.saturating_sub(elapsed_ms);
                 submission.spec.deadline_ms = remaining_ms.max(1);
             }
             match self.call_home(ticket, request).await {
                 Ok(JobReport::Running { ended, total }) => {
                     failing_since = None;
-                    // The home has the job: from here on it is only asked after.
+                    // The home has the job; further calls only poll.
                     service = spec.take().map(|spec| spec.service).or(service);
                     if self.elapsed_ms(started_at) >= wait_ms {
                         return JobReport::Running { ended, total };
@@ -194,7 +193,7 @@
         }
     }
 
-    /// One call to the ticket's home; an error is worth another call.
+    /// Calls the ticket's home once; errors can be retried.
     async fn call_home(&self, ticket: Ticket, request: PeerRequest) -> Result<JobReport, Verdict> {
         let addr = match self.state.locate(ticket.id.home) {
             HomeLocation::At(addr) => addr,
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the other entries, and what it may vouch for.
+//! Entry membership: the roster, digests between entries, and configuration changes in flight.
 
 use {
     super::{EntryState, InForce, entry_state::Inner},
@@ -21,15 +21,14 @@
     },
 };
 
-/// Silence after which agents are no longer told of an entry, in milliseconds.
+/// Time without contact after which an entry is left out of the agents' roster, in milliseconds.
 const ENTRY_TIMEOUT_MS: u64 = 5_000;
-/// Version of an entry's own row: it is written once.
+/// Version of an entry's row, which is written only once.
 const INITIAL_ROW_VERSION: u64 = 1;
 
-/// A change of the configuration under way; an abandoned one counts as of unknown outcome.
+/// A configuration change in flight; if dropped unmarked, its outcome counts as unknown.
 ///
-/// Guards against a caller that hangs up while its change is being written: the handler is
-/// dropped, the write may land all the same, and nobody would read what became of it.
+/// The handler is dropped when its caller disconnects, but the write may still take effect.
 #[derive(Debug)]
 pub(crate) struct ChangeInFlight {
     state: Arc<EntryState>,
@@ -38,7 +37,7 @@
 }
 
 impl ChangeInFlight {
-    /// The write certainly did not take effect and never will.
+    /// Records that the write has no effect and never will.
     pub(crate) fn mark_not_applied(mut self) {
         self.outcome = ChangeOutcome::NotApplied;
     }
@@ -56,7 +55,7 @@
 }
 
 impl Inner {
-    /// The version held, and whether tasks may start at the worker that announces itself.
+    /// Returns the version in force and whether tasks may start at the announcing worker.
     pub(super) fn gate_decision(&self, announcement: &Announcement) -> (u64, bool) {
         let Some(in_force) = &self.in_force else {
             return (0, false);
@@ -67,7 +66,7 @@
         (in_force.head.version, is_open)
     }
 
-    /// This entry and those heard lately.
+    /// Returns this entry and the other entries alive.
     pub(super) fn roster_for_agents(&self, now: Instant) -> Vec<PeerEntry> {
         let is_alive = |entry: &PeerEntry| {
             self.last_heard
@@ -87,12 +86,12 @@
 }
 
 impl EntryState {
-    /// This entry as it stands on the roster.
+    /// Returns this entry's own roster entry.
     pub(crate) fn local_entry(&self) -> PeerEntry {
         self.lock().local_entry.clone()
     }
 
-    /// The row by which this entry stands on the roster.
+    /// Returns this entry's roster row.
     pub(crate) fn roster_row(&self) -> RosterRow {
         RosterRow {
             entry: self.local_entry(),
@@ -100,21 +99,21 @@
         }
     }
 
-    /// Takes a new identity, as the rows of the old one were removed.
+    /// Changes the identity after the rows of the old one were removed.
     ///
-    /// Guards against a change begun under the old one that lands under the new one's row.
+    /// A change begun under the old identity then fails the check of its roster row.
     pub(crate) fn renew_identity(&self, identity: AgentId) {
         let mut inner = self.lock();
         inner.local_entry.entry = identity;
         inner.gate.clear_roster();
     }
 
-    /// This entry's row was written by a call sent at `sent_at`.
+    /// Records that this entry's row was written by a call sent at `sent_at`.
     pub(crate) fn record_row_written(&self, sent_at: Instant) {
         self.lock().gate.record_row_written(sent_at);
     }
 
-    /// Takes in the rows of the roster, scanned at `requested_at`, before the head row was read.
+    /// Applies a scan of the roster, requested at `requested_at` and before the head row was read.
     pub(crate) fn apply_roster_scan(
         &self,
         requested_at: Instant,
@@ -136,7 +135,7 @@
         scan
     }
 
-    /// The other entries, once this one stands on the roster.
+    /// Returns the other entries; empty until this one is registered.
     pub(crate) fn other_entries(&self) -> Vec<PeerEntry> {
         let inner = self.lock();
         if !inner.gate.knows_roster() {
@@ -149,14 +148,14 @@
             .collect()
     }
 
-    /// How many entries there are, this one included; `None` until the roster was read.
+    /// Returns the number of entries, including this one; `None` until the roster was read.
     pub(crate) fn entry_count(&self) -> Option<u64> {
         let inner = self.lock();
         let count = inner.roster.others(inner.local_entry.entry).count() as u64 + 1;
         inner.gate.knows_roster().then_some(count)
     }
 
-    /// What to tell another entry now.
+    /// Builds the digest for another entry.
     pub(crate) fn build_digest(&self, peer: AgentId) -> (Digest, AgentDigest) {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -173,7 +172,7 @@
         (digest, agent_digest)
     }
 
-    /// Takes another entry's digest in and answers it.
+    /// Handles another entry's digest.
     pub(crate) fn handle_digest(&self, digest: Digest) -> DigestReply {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -206,8 +205,8 @@
         }
     }
 
-    /// Takes in an entry's answer to the digest sent at `requested_at`; true if it holds a newer
-    /// configuration than this one.
+    /// Handles the reply to the digest sent at `requested_at`; returns whether the other entry has
+    /// a newer configuration.
     pub(crate) fn handle_digest_reply(
         &self,
         requested_at: Instant,
@@ -226,7 +225,7 @@
         reply.status.version > inner.gate.status(now).version
     }
 
-    /// Notes that a change is about to be written; `None` while others don't know this entry.
+    /// Records that a change is about to be written; `None` while others don't know this entry.
     pub(crate) fn begin_change(
         self: &Arc<Self>,
         version: u64,
@@ -250,7 +249,7 @@
         Some((change, check))
     }
 
-    /// What agents heard here are to be told after the configuration changed from `before`.
+    /// Returns the notices for agents that announce here after a change from `before`.
     pub(crate) fn gate_notices(&self, before: Option<&InForce>) -> Vec<(SocketAddr, GateNotice)> {
         let now = self.timer.now();
         let inner = self.lock();
@@ -277,7 +276,7 @@
     }
 }
 
-/// Where tasks may start now and no longer after the change.
+/// Returns where tasks may start now but not after the change.
 fn closing(in_force: Option<&InForce>, document: &Document) -> BTreeSet<Closing> {
     let Some(in_force) = in_force else {
         return BTreeSet::new();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: clients and operators on one side, agents on the other.
+//! The entry process: serves clients and operators, and forwards jobs to agents.
 
 mod apply_error;
 mod claims;
--- a/src/entry/peer_handler.rs
+++ b/src/entry/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What an entry does with its peers' calls.
+//! Handles calls from other entries and agents.
 
 use {
     super::EntryState,
@@ -10,7 +10,7 @@
     std::sync::Arc,
 };
 
-/// Takes announcements and digests.
+/// Handles announcements, digests and requests for the configuration.
 #[derive(Debug)]
 pub(crate) struct EntryPeerHandler {
     pub(crate) state: Arc<EntryState>,
--- a/src/entry/roster_sync.rs
+++ b/src/entry/roster_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps this entry on the roster, and reads the roster and the configuration's head.
+//! Maintains this entry's registration, and reads the roster and the configuration's head.
 
 use {
     super::{ConfigStore, EntryState},
@@ -14,16 +14,16 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Pause between readings of the roster, in milliseconds.
+/// Interval of roster scans, in milliseconds.
 const SCAN_INTERVAL_MS: u64 = 2_000;
-/// Longest pause between writes of the beat row, in milliseconds.
+/// Longest interval between writes of the heartbeat row, in milliseconds.
 const MAX_HEARTBEAT_INTERVAL_MS: u64 = 5_000;
-/// Beats written within the time after which the rows may be removed, at least.
+/// Heartbeats due within the time after which others may remove this entry's rows.
 const MIN_HEARTBEATS_PER_OUTAGE_LIMIT: u64 = 5;
-/// Version of a row that is written once.
+/// Version of an entry's row, which is written only once.
 const INITIAL_ROW_VERSION: u64 = 1;
 
-/// Where this entry stands with the platform.
+/// Synchronizes this entry with the platform's roster and configuration.
 #[derive(Debug)]
 pub(crate) struct RosterSync {
     pub(crate) state: Arc<EntryState>,
@@ -36,10 +36,10 @@
 }
 
 impl RosterSync {
-    /// Calls the platform again and again, one call at a time.
+    /// Calls the platform periodically.
     ///
-    /// Guards against calls that pile up on a slow store: the next one begins when the last has
-    /// ended or was given up, and ticks that come meanwhile are dropped.
+    /// Rounds don't overlap, and ticks during a round are dropped, so calls don't pile up on a
+    /// slow store.
     pub(crate) async fn run(mut self, period_ms: u64) {
         let mut ticks = self.timer.subscribe(period_ms);
         let mut reachable = true;
@@ -47,18 +47,18 @@
             let result = self.sync().await;
             if result.is_ok() != reachable {
                 reachable = result.is_ok();
-                log::warn!(reachable, error:? = result.err(); "the platform's reachability changed");
+                log::warn!(reachable, error:? = result.err(); "the platform became reachable or unreachable");
             }
         }
     }
 
-    /// One round of calls. The head is read whatever became of the roster's rows: permits rest
-    /// on it, and a store may take reads while it takes no writes.
+    /// Runs one round of calls. The head is read even if the roster's rows can't be written: permits
+    /// depend on it, and a store may accept reads but no writes.
     async fn sync(&mut self) -> Result<(), StoreError> {
         let now = self.timer.now();
         let registration = self.maintain_registration(now).await;
         let is_scan_due = self.is_registered && is_due(now, self.scanned_at, SCAN_INTERVAL_MS);
-        // A scan reads the head, too.
+        // A scan also reads the head.
         if is_scan_due && self.scan_roster().await.is_ok() {
             return registration;
         }
@@ -97,7 +97,7 @@
                 self.is_registered = true;
                 Ok(())
             }
-            // An earlier write whose reply was lost: the next beat finds the row.
+            // An earlier write took effect but its reply was lost; a heartbeat checks the row.
             Ok(TransactionOutcome::Conflict { .. }) => {
                 self.is_registered = true;
                 Ok(())
@@ -123,16 +123,16 @@
         Ok(())
     }
 
-    /// The rows are gone: others took this entry for dead. It comes back under a new identity.
+    /// Picks a new identity after other entries have removed this one as dead.
     fn renew_identity(&mut self) {
-        log::warn!("this entry was taken off the roster and registers anew");
+        log::warn!("this entry was removed from the roster and registers under a new identity");
         self.state.renew_identity(AgentId(rand::rng().random()));
         self.is_registered = false;
         self.heartbeat_sent_at = None;
         self.scanned_at = None;
     }
 
-    /// Reads the roster and then the head row, and removes rows of entries that are gone.
+    /// Reads the roster and then the head row, and removes rows of dead entries.
     async fn scan_roster(&mut self) -> Result<(), StoreError> {
         let requested_at = self.timer.now();
         let rows = self.table.scan(ROSTER_PREFIX).await?;
@@ -155,7 +155,7 @@
             return Ok(());
         }
         for (entry, heartbeat_version) in scan.gone {
-            log::warn!(entry = entry.0; "an entry that is gone is taken off the roster");
+            log::warn!(entry = entry.0; "removing a dead entry from the roster");
             self.remove_entry(entry, Some(heartbeat_version)).await?;
         }
         Ok(())
@@ -175,7 +175,7 @@
     }
 }
 
-/// Takes an entry that stops as planned off the roster.
+/// Removes this entry from the roster at shutdown.
 pub(crate) async fn deregister(state: &EntryState, table: &dyn Table) {
     let entry = state.local_entry().entry;
     let transaction = Transaction {
@@ -183,7 +183,7 @@
         puts: Roster::keys(entry).map(|key| put(key, None)).into(),
     };
     if let Err(error) = table.transact(transaction).await {
-        log::warn!(error:% = error; "this entry could not be taken off the roster");
+        log::warn!(error:% = error; "failed to remove this entry from the roster");
     }
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Wires an entry together and runs it until it is told to stop.
+//! Wires an entry's parts together and runs it until a stop signal.
 
 use {
     super::{
@@ -29,13 +29,12 @@
     tokio::task::JoinHandle,
 };
 
-/// Period of housekeeping, in milliseconds.
 const MAINTENANCE_INTERVAL_MS: u64 = 500;
 
-/// Entries assumed until the roster has been read.
+/// Number of entries sharing the store budget until the roster has been read.
 const ASSUMED_ENTRY_COUNT: u64 = 4;
 
-/// The platform and this entry's share of it.
+/// The platform's store and this entry's budget of calls.
 #[derive(Debug)]
 struct Platform {
     store: Arc<HttpStore>,
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The store for calls of this urgency, within the one budget.
+    /// Returns a store for calls of this urgency; all stores share one budget.
     fn store(&self, urgency: Urgency) -> Arc<BudgetedStore<HttpStore>> {
         Arc::new(BudgetedStore {
             store: Arc::clone(&self.store),
@@ -79,7 +78,7 @@
     }
 }
 
-/// What the parts of an entry share.
+/// Dependencies shared by the parts of an entry.
 struct Shared {
     metrics: Arc<dyn Metrics>,
     timer: Arc<dyn TimerService>,
@@ -125,7 +124,7 @@
         })
     }
 
-    /// Keeps this entry on the roster and reads the configuration.
+    /// Starts registration on the roster and reading of the configuration.
     fn start_roster(&self, head_poll_ms: u64) -> JoinHandle<()> {
         let roster = RosterSync {
             state: Arc::clone(&self.state),
@@ -139,7 +138,7 @@
         tokio::spawn(roster.run(head_poll_ms))
     }
 
-    /// Tells other entries and agents what has changed, and drops what is out of date.
+    /// Starts digests, notices to agents and periodic maintenance.
     fn start_exchange(&self) {
         let exchange = Arc::new(DigestExchange {
             state: Arc::clone(&self.state),
@@ -188,7 +187,7 @@
     }
 }
 
-/// Runs an entry until SIGTERM or SIGINT; requests under way are answered first.
+/// Runs an entry until SIGTERM or SIGINT; requests in flight complete first.
 pub(crate) async fn run_entry(settings: EntrySettings) -> Result<(), RunError> {
     let shared = Shared::new(&settings)?;
     let peers = listen(settings.peer_listen).await?;
@@ -201,7 +200,7 @@
     let api = shared.api(&settings);
     log::info!(name = settings.name.as_str(), client_listen:% = settings.client_listen; "entry started");
     serve_entry_api(settings.client_listen, api, stop_signal()).await?;
-    // A beat that is under way must not bring the rows back.
+    // A heartbeat in flight must not recreate the rows.
     roster.abort();
     let store = shared.platform.store(Urgency::Urgent);
     deregister(&shared.state, store.as_ref()).await;
--- a/src/entry/tests/config/concurrent_changes.rs
+++ b/src/entry/tests/config/concurrent_changes.rs
@@ -1,4 +1,4 @@
-//! Several entries, several operators, a platform that fails: what was accepted stays.
+//! Property test of concurrent changes at several entries while the platform fails.
 
 use {
     super::{FakePlatform, change, config_store, in_virtual_time, operator, values},
@@ -14,10 +14,10 @@
     tokio::time::sleep,
 };
 
-/// Versions in force that the race begins with.
+/// Version in force before the random steps.
 const FIRST_VERSION: u64 = 1;
 
-/// One thing that happens.
+/// One random step.
 #[derive(Debug, Clone)]
 struct Step {
     after_ms: u64,
@@ -27,20 +27,20 @@
 
 #[derive(Debug, Clone)]
 enum StepKind {
-    /// An operator changes these sections of what the entry shows.
+    /// An operator changes these sections of the entry's configuration in force.
     Change([bool; 4]),
     /// The entry reads the head row.
     Refresh,
-    /// The entry is killed, with all that it was doing, and replaced.
+    /// The entry is killed with its changes in flight, and replaced.
     Restart,
 }
 
-/// A change that was asked for.
+/// A requested change.
 #[derive(Debug)]
 struct ChangeRecord {
     based_on: u64,
     sections: [bool; 4],
-    /// `None` if the entry was killed before it answered.
+    /// `None` if the entry was killed before it replied.
     result: Option<Result<AppliedChange, ApplyError>>,
 }
 
@@ -64,7 +64,7 @@
     store
 }
 
-/// Runs the steps and returns each change by its number, which is also the value it writes.
+/// Runs the steps and returns the changes by number; a change writes its number as the value.
 async fn run_steps(
     platform: &Arc<FakePlatform>,
     fault_percent: u32,
@@ -127,7 +127,7 @@
     task.abort();
 }
 
-/// Everything that the platform holds once all late writes have landed, by version.
+/// Returns all versions and the head that the platform has stored after all delayed writes.
 async fn read_history(platform: &Arc<FakePlatform>) -> (Vec<InForce>, Head) {
     sleep(Duration::from_secs(30)).await;
     platform.clear_faults();
@@ -142,7 +142,7 @@
     (versions, reader.state.in_force().expect("a head").head)
 }
 
-/// The history is whole and in order, and each version changes just the sections it says.
+/// The history is complete and in order, and each version changes only the sections in its head.
 fn check_history(versions: &[InForce], head: &Head) {
     assert_eq!(versions.last().map(|held| &held.head), Some(head));
     for (index, held) in versions.iter().enumerate() {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Each answer is true.
+/// The reported result matches the history.
 fn check_result(versions: &[InForce], number: u32, change: &ChangeRecord) {
     let applied = versions.iter().find(|held| {
         let held_values = values(&held.document);
@@ -195,7 +195,7 @@
     }
 }
 
-/// A change lands whole, and overwrites nothing that its operator had not seen.
+/// A change is applied completely and overwrites nothing newer than its base version.
 fn check_applied(versions: &[InForce], applied: &InForce, number: u32, change: &ChangeRecord) {
     let held = values(&applied.document);
     for (index, section) in SECTIONS.into_iter().enumerate() {
@@ -212,10 +212,8 @@
     }
 }
 
-/// A user sees "accepted", and later the old configuration; or "refused", and later the change.
-/// Operators race through three entries while the platform refuses, loses calls and replies and
-/// lets writes land after their callers gave up; entries are slow, stale, killed and replaced.
-/// The cause would be an answer given from anything else than what the platform holds for good.
+/// An accepted change must not disappear, and a refused one must not appear later, under store
+/// faults, delayed writes, and entries that are slow, stale or restarted.
 #[test]
 fn accepted_changes_persist_and_refused_changes_never_apply() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
--- a/src/entry/tests/config/fake_platform.rs
+++ b/src/entry/tests/config/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table and object store in memory, with latencies and faults from a seed.
+//! In-memory table and object store with seeded latencies and faults.
 
 use {
     super::{CallFault, FAULTS},
@@ -19,7 +19,7 @@
     tokio::time::sleep,
 };
 
-/// After this time a caller gives up.
+/// Timeout of a caller whose call or reply is lost, in milliseconds.
 const CALLER_TIMEOUT_MS: u64 = 1_500;
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     watched_entries: Vec<(Arc<EntryState>, u64)>,
 }
 
-/// A platform that loses replies, refuses, and lets writes land late.
+/// A platform that refuses calls, loses calls and replies, and delays writes.
 #[derive(Debug)]
 pub(super) struct FakePlatform {
     inner: Arc<Mutex<Inner>>,
@@ -63,7 +63,7 @@
         self.inner.lock().expect("no panic before")
     }
 
-    /// Writes an entry's row, unless it is there, and lets the entry know.
+    /// Writes an entry's roster row unless it exists, and applies a roster scan at the entry.
     pub(super) fn register_entry(&self, state: &EntryState) {
         let row = state.roster_row();
         let key = entry_key(row.entry.entry);
@@ -82,34 +82,34 @@
         state.apply_roster_scan(Instant::default(), vec![row], &BTreeMap::new());
     }
 
-    /// From now on this share of calls goes wrong.
+    /// Sets the percentage of calls with a random fault.
     pub(super) fn set_fault_percent(&self, percent: u32) {
         self.lock().fault_percent = percent;
     }
 
-    /// What happens to the next calls, before the share decides again.
+    /// Sets the faults of the next calls; later calls get random faults again.
     pub(super) fn script_faults(&self, faults: &[CallFault]) {
         self.lock().scripted.extend(faults);
     }
 
-    /// Nothing goes wrong any more.
+    /// Stops injecting faults.
     pub(super) fn clear_faults(&self) {
         let mut inner = self.lock();
         inner.scripted.clear();
         inner.fault_percent = 0;
     }
 
-    /// Calls since the last time this was asked.
+    /// Returns and resets the number of calls.
     pub(super) fn drain_call_count(&self) -> usize {
         std::mem::take(&mut self.lock().calls)
     }
 
-    /// From now on fails the test when this entry's version in force goes down.
+    /// Fails the test if this entry's version in force ever decreases.
     pub(super) fn watch_version(&self, state: &Arc<EntryState>) {
         self.lock().watched_entries.push((Arc::clone(state), 0));
     }
 
-    /// Waits as the network would and decides what goes wrong.
+    /// Waits for the network latency and selects a fault.
     async fn start_call(&self) -> CallFault {
         let (latency_ms, fault) = {
             let mut inner = self.lock();
@@ -161,7 +161,7 @@
 }
 
 impl Inner {
-    /// Mostly a few milliseconds; now and then as long as a pause of the caller.
+    /// Returns a few milliseconds; one call in twenty takes up to six seconds.
     fn latency_ms(&mut self) -> u64 {
         match self.rng.random_range(0..20) {
             0 => self.rng.random_range(0..6_000),
--- a/src/entry/tests/config/forwarded.rs
+++ b/src/entry/tests/config/forwarded.rs
@@ -1,4 +1,4 @@
-//! Tests of a configuration that another entry passes on.
+//! Tests of configurations forwarded by other entries.
 
 use {
     super::{FakePlatform, NoMetrics, PausedTimer, config_store, document, in_virtual_time},
@@ -19,7 +19,7 @@
     },
 };
 
-/// Peers on a narrow link: the document takes two seconds.
+/// A slow link: fetching the document takes two seconds.
 #[derive(Debug)]
 struct SlowNetwork;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Guards against a document that is fetched over and over because it takes longer than a digest may.
+/// A fetch that exceeds the timeout of digests must not be aborted and repeated forever.
 #[test]
 fn a_slowly_fetched_document_is_applied() {
     in_virtual_time(async {
--- a/src/entry/tests/config/mod.rs
+++ b/src/entry/tests/config/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the store against a fake platform with faults, in virtual time.
+//! Tests of the configuration store against a fake platform with faults, in virtual time.
 
 mod concurrent_changes;
 mod fake_platform;
@@ -23,22 +23,22 @@
     std::sync::Arc,
 };
 
-/// What becomes of a call, as the fake decides.
+/// Fault injected into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallFault {
-    /// Nothing goes wrong.
+    /// The call succeeds.
     None,
-    /// The platform refuses.
+    /// The platform refuses the call.
     Unavailable,
-    /// The reply is lost after the write took effect.
+    /// The write takes effect, but the reply is lost.
     ReplyLost,
-    /// The call is lost.
+    /// The call is lost and has no effect.
     CallLost,
-    /// The caller gives up; the write takes effect later.
+    /// The caller times out; the write takes effect later.
     Delayed,
 }
 
-/// All that can go wrong.
+/// Faults injected at random.
 const FAULTS: [CallFault; 4] = [
     CallFault::Unavailable,
     CallFault::ReplyLost,
@@ -57,7 +57,6 @@
     }
 }
 
-/// For how long an entry may grant permits without the platform; of no matter here.
 const OUTAGE_LIMIT_MS: u64 = 3_600_000;
 
 fn config_store(platform: &Arc<FakePlatform>) -> Arc<ConfigStore> {
@@ -85,7 +84,7 @@
     })
 }
 
-/// A document whose sections each hold one value, in the order of [`SECTIONS`].
+/// Returns a document with one value per section, in the order of [`SECTIONS`].
 fn document(values: [u32; 4]) -> String {
     let [memory, deadline, region, team] = values;
     format!(
@@ -117,7 +116,7 @@
     }
 }
 
-/// Runs a test in virtual time: whenever all tasks sleep, the clock jumps.
+/// Runs a test on a paused clock, which advances whenever all tasks sleep.
 fn in_virtual_time<T>(test: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/src/entry/tests/config/single_change.rs
+++ b/src/entry/tests/config/single_change.rs
@@ -1,4 +1,4 @@
-//! One change at a time: what each fault is answered with, and what a change costs.
+//! Tests of sequential changes: the result under each fault, and the number of store calls.
 
 use {
     super::{CallFault, FakePlatform, change, config_store, in_virtual_time, operator, values},
@@ -22,7 +22,7 @@
     };
 }
 
-/// Makes a change under these faults; returns the answer and the version in force for good.
+/// Applies a change under these faults; returns its result and the final version.
 async fn change_with_faults(faults: &[CallFault]) -> (String, u64) {
     let platform = FakePlatform::new(1);
     let entry = config_store(&platform);
@@ -49,7 +49,7 @@
     (outcome.to_owned(), in_force.head.version)
 }
 
-// The calls of a change: read the head row, write the object, move the head.
+// A change makes three calls: read the head row, write the object, write the head row.
 store_fault_cases! {
     accepted_without_faults: [] => "accepted", version 2;
     refused_when_reading_the_head_fails: [CallFault::Unavailable] => "store_unavailable", version 1;
@@ -72,8 +72,8 @@
             => "outcome_unknown", version 1;
 }
 
-/// The platform allows several hundred writes and two thousand reads a second. A change costs
-/// one read and two writes at the entry that accepts it, and two reads at every other entry.
+/// The platform limits reads and writes per second. A change must cost one read and two writes at
+/// the accepting entry, and two reads at every other entry.
 #[test]
 fn a_change_costs_three_store_calls_and_two_at_each_other_entry() {
     in_virtual_time(async {
@@ -92,8 +92,8 @@
     });
 }
 
-/// The hardware team's document is older than the operators' last change of the zones. Both
-/// land, and the operator who was second in a section is told who was first.
+/// A stale document is merged if its sections haven't changed since; a conflict names the author of
+/// the change that came first.
 #[test]
 fn stale_documents_merge_by_section_and_conflicts_name_the_author() {
     in_virtual_time(async {
@@ -134,8 +134,8 @@
     });
 }
 
-/// Two sections of a document are changed apart so that the whole no longer holds: one operator
-/// takes a worker away, the other raises a quota to just what was there.
+/// Two changes of different sections, each valid on its own, can make an invalid document: one
+/// reduces a worker's slots, the other raises a quota above the remaining slots.
 #[test]
 fn a_merge_that_breaks_a_rule_across_sections_is_refused() {
     in_virtual_time(async {
@@ -161,8 +161,8 @@
     });
 }
 
-/// Twenty operators take zones in and out at the same moment through two entries. All land:
-/// each is planned anew on what is in force when its turn comes.
+/// Twenty operators open and close zones concurrently through two entries. Changes that conflict
+/// are retried on the newest version, and the only refusal allowed is `Busy`.
 #[test]
 fn at_least_half_of_twenty_concurrent_zone_changes_are_accepted() {
     in_virtual_time(async {
--- a/src/entry/tests/fakes.rs
+++ b/src/entry/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes that several of the entry's tests share.
+//! Fakes shared by the entry's tests.
 
 #![allow(
     clippy::expect_used,
@@ -13,7 +13,7 @@
     tokio::sync::mpsc,
 };
 
-/// Tokio's clock, so that a test can pass time without waiting.
+/// Reads Tokio's clock, which tests can pause.
 #[derive(Debug)]
 pub(super) struct PausedTimer(pub(super) tokio::time::Instant);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Counts nothing.
+/// Discards all metrics.
 #[derive(Debug)]
 pub(super) struct NoMetrics;
 
--- a/src/entry/tests/jobs.rs
+++ b/src/entry/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Tests of how an entry follows a job, with a home that answers late, crossed or broken.
+//! Tests of job forwarding with lost calls, corrupt answers and an unresponsive home.
 
 #![allow(
     clippy::expect_used,
@@ -31,7 +31,7 @@
 
 const HOME: AgentId = AgentId(7);
 
-/// What the home, or the connection to it, does with one call.
+/// Behaviour of the home or the connection for one call.
 #[derive(Debug, Clone)]
 enum CallBehaviour {
     Reply(JobStatus),
@@ -39,7 +39,7 @@
     NoReply,
 }
 
-/// A network on which each call behaves as told; the last behaviour stays.
+/// A network with a scripted behaviour per call; the last one repeats.
 #[derive(Debug)]
 struct ScriptedNetwork {
     script: Mutex<VecDeque<CallBehaviour>>,
@@ -168,8 +168,8 @@
     answer
 }
 
-/// A bank gets an answer that is another job's, or lacks a task, or has tasks exchanged on the way:
-/// it would pay the wrong share. Each must be found and reported as "may have run", never handed on.
+/// An answer of another job, or with missing or swapped tasks, must not reach the client but must
+/// be reported as "may have run".
 macro_rules! corrupt_answer_cases {
     ($($name:ident: $answer:expr;)+) => {
         $(
@@ -192,8 +192,8 @@
     an_answer_with_swapped_tasks_is_rejected: swapped;
 }
 
-/// The first call's connection breaks after the submission arrived. The entry must call again
-/// under the same ticket, and then only ask after the job.
+/// If the connection breaks after the submission arrived, the entry must submit again under the same
+/// ticket, and after the reply only poll.
 #[tokio::test]
 async fn a_lost_submission_is_retried_under_the_same_ticket() {
     let ticket = grant().ticket(0);
@@ -220,8 +220,8 @@
     assert!(matches!(&calls[2], PeerRequest::Poll { ticket: asked, .. } if *asked == ticket));
 }
 
-/// A home's loop hangs while its connection still answers pings. The client's request would hang
-/// with it, past its deadline and for good; it must hear "may have run" and when to ask again.
+/// If a home hangs while its connection still answers pings, the client must get "may have run"
+/// with a retry delay instead of waiting forever.
 #[tokio::test(start_paused = true)]
 async fn an_unresponsive_home_does_not_block_the_client() {
     let ticket = grant().ticket(0);
--- a/src/entry/tests/mod.rs
+++ b/src/entry/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry's parts against fakes of what they call.
+//! Tests of the entry's parts with fake dependencies.
 
 mod config;
 mod fakes;
