--- a/src/entry/apply_error.rs
+++ b/src/entry/apply_error.rs
@@ -31,7 +31,7 @@
         }
         /// The same sections have changed since the base version.
         Conflict(version: u64, conflicts: Vec<SectionConflict>) {
-            display("{} has changed since the base version; version {} is in force", sections(conflicts), version)
+            display("{} changed after the base version; version {} is in force", sections(conflicts), version)
         }
         /// Too many concurrent changes.
         Busy {
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -191,8 +191,8 @@
         let unknown = digest
             .beats
             .into_iter()
-            .filter(|beat| !inner.directory.record_heartbeat(now, from, *beat))
-            .map(|beat| beat.index)
+            .filter(|heartbeat| !inner.directory.record_heartbeat(now, from, *heartbeat))
+            .map(|heartbeat| heartbeat.index)
             .collect();
         let status = inner.gate.status(now);
         if digest.version > status.version {
--- a/src/entry/tests/config/concurrent_changes.rs
+++ b/src/entry/tests/config/concurrent_changes.rs
@@ -95,14 +95,14 @@
                 entries[step.entry] = start(platform);
             }
             StepKind::Change(sections) => {
-                let Some(held) = entry.state.in_force() else {
+                let Some(in_force) = entry.state.in_force() else {
                     continue;
                 };
-                let mut wanted = values(&held.document);
+                let mut wanted = values(&in_force.document);
                 for index in (0..4).filter(|index| sections[*index]) {
                     wanted[index] = number;
                 }
-                let based_on = held.head.version;
+                let based_on = in_force.head.version;
                 let request = change(wanted, based_on);
                 let operator = ops.clone();
                 let task = tokio::spawn(async move { entry.apply(&operator, &request).await });
@@ -136,17 +136,17 @@
     let heads = reader.history(1_000).await.expect("history");
     let mut versions = Vec::new();
     for head in heads {
-        let held = reader.at_version(head.version).await.expect("reads");
-        versions.push(held.expect("a document for each version"));
+        let version = reader.at_version(head.version).await.expect("reads");
+        versions.push(version.expect("a document for each version"));
     }
     (versions, reader.state.in_force().expect("a head").head)
 }
 
 /// The history is complete and in order, and each version changes only the sections in its head.
 fn check_history(versions: &[InForce], head: &Head) {
-    assert_eq!(versions.last().map(|held| &held.head), Some(head));
-    for (index, held) in versions.iter().enumerate() {
-        assert_eq!(held.head.version, index as u64 + 1, "no gap");
+    assert_eq!(versions.last().map(|version| &version.head), Some(head));
+    for (index, version) in versions.iter().enumerate() {
+        assert_eq!(version.head.version, index as u64 + 1, "no gap");
     }
     for pair in versions.windows(2) {
         let (before, after) = (&pair[0], &pair[1]);
@@ -165,9 +165,9 @@
 
 /// The reported result matches the history.
 fn check_result(versions: &[InForce], number: u32, change: &ChangeRecord) {
-    let applied = versions.iter().find(|held| {
-        let held_values = values(&held.document);
-        (0..4).any(|index| held_values[index] == number)
+    let applied = versions.iter().find(|version| {
+        let stored = values(&version.document);
+        (0..4).any(|index| stored[index] == number)
     });
     let changes_nothing = change.sections == [false; 4];
     match &change.result {
@@ -197,9 +197,9 @@
 
 /// A change is applied completely and overwrites nothing newer than its base version.
 fn check_applied(versions: &[InForce], applied: &InForce, number: u32, change: &ChangeRecord) {
-    let held = values(&applied.document);
+    let stored = values(&applied.document);
     for (index, section) in SECTIONS.into_iter().enumerate() {
-        assert_eq!(held[index] == number, change.sections[index], "{section}");
+        assert_eq!(stored[index] == number, change.sections[index], "{section}");
         if !change.sections[index] {
             continue;
         }
