--- a/src/core/config/difference.rs
+++ b/src/core/config/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, in words that an operator uses.
+//! Differences between two documents, described for operators.
 
 use {
     super::{Document, Quota, Service, Worker, Zone, ZoneState},
@@ -6,33 +6,33 @@
     std::collections::BTreeMap,
 };
 
-/// One thing that differs.
+/// One item that differs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct Difference {
-    /// The section that it stands in.
+    /// The section of the item.
     pub(crate) section: &'static str,
     /// The name of the worker, service, availability zone or team.
     pub(crate) name: String,
-    /// The difference, such as "availability zone keflavik: open -> out".
+    /// The description, such as "availability zone keflavik: open -> out".
     pub(crate) words: String,
 }
 
-/// A named thing of the document.
-trait Described {
-    /// The section that holds things of this kind.
+/// A named item of the document.
+trait DocumentItem {
+    /// The section that holds items of this type.
     const SECTION: &'static str;
-    /// What operators call it.
+    /// The operators' name for the type of item.
     const KIND: &'static str;
 
-    /// All of it, for one that is added.
+    /// Describes an added item.
     fn summary(&self) -> String;
 
-    /// Its fields in order: name (empty for the main one) and value.
+    /// Returns names and values of the fields; the main field has an empty name.
     fn fields(&self) -> Vec<(&'static str, String)>;
 }
 
 impl Document {
-    /// What would change if `other` came into force in place of this document.
+    /// Returns what changes when `other` replaces this document.
     pub(crate) fn differences(&self, other: &Self) -> Vec<Difference> {
         let mut differences = compare(&self.workers, &other.workers);
         differences.extend(compare(&self.services, &other.services));
@@ -42,7 +42,7 @@
     }
 }
 
-fn compare<T: Described>(
+fn compare<T: DocumentItem>(
     before: &BTreeMap<String, T>,
     after: &BTreeMap<String, T>,
 ) -> Vec<Difference> {
@@ -52,7 +52,7 @@
     names
         .into_iter()
         .filter_map(|name| {
-            let words = in_words(name, before.get(name), after.get(name))?;
+            let words = describe(name, before.get(name), after.get(name))?;
             Some(Difference {
                 section: T::SECTION,
                 name: name.clone(),
@@ -62,7 +62,7 @@
         .collect()
 }
 
-fn in_words<T: Described>(name: &str, before: Option<&T>, after: Option<&T>) -> Option<String> {
+fn describe<T: DocumentItem>(name: &str, before: Option<&T>, after: Option<&T>) -> Option<String> {
     let kind = T::KIND;
     match (before, after) {
         (None, None) => None,
@@ -75,7 +75,7 @@
     }
 }
 
-fn changed_fields<T: Described>(before: &T, after: &T) -> Vec<String> {
+fn changed_fields<T: DocumentItem>(before: &T, after: &T) -> Vec<String> {
     before
         .fields()
         .into_iter()
@@ -90,7 +90,7 @@
         .collect()
 }
 
-impl Described for Worker {
+impl DocumentItem for Worker {
     const SECTION: &'static str = "capacity";
     const KIND: &'static str = "worker";
 
@@ -125,7 +125,7 @@
     }
 }
 
-impl Described for Service {
+impl DocumentItem for Service {
     const SECTION: &'static str = "services";
     const KIND: &'static str = "service";
 
@@ -160,7 +160,7 @@
     }
 }
 
-impl Described for Zone {
+impl DocumentItem for Zone {
     const SECTION: &'static str = "zones";
     const KIND: &'static str = "availability zone";
 
@@ -177,7 +177,7 @@
 }
 
 impl ZoneState {
-    /// The word that the document and operators use.
+    /// The name in the document and in messages to operators.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
@@ -186,7 +186,7 @@
     }
 }
 
-impl Described for Quota {
+impl DocumentItem for Quota {
     const SECTION: &'static str = "quotas";
     const KIND: &'static str = "quota of team";
 
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -234,7 +234,7 @@
         test.start_task(3, StartResponse::Accepted);
     } => NoRoom;
     a_start_after_the_entry_lease_expired_is_rejected: |test| {
-        test.now = test.now.plus_ms(limits().silence_ms);
+        test.now = test.now.plus_ms(limits().liveness_timeout_ms);
     } => RightLapsed;
     a_start_during_shutdown_is_rejected: |test| test.send_event(ExecutionEvent::Shutdown) => Draining;
 }
@@ -292,7 +292,7 @@
     let mut test = TestExecutor::ready();
     test.start_task(1, StartResponse::Accepted);
     let mut stops = Vec::new();
-    for _ in 0..limits().silence_ms / 15 {
+    for _ in 0..limits().liveness_timeout_ms / 15 {
         test.advance(15);
         stops.push(test.stop_count());
         let actions = std::mem::take(&mut test.actions);
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -4,7 +4,7 @@
     super::EntryState,
     crate::{
         core::{
-            claim::{Claim, ClaimAction, ClaimFault, ClaimId, ClaimQueue, WriteOutcome},
+            claim::{Claim, ClaimAction, ClaimError, ClaimId, ClaimQueue, WriteOutcome},
             ticket::Ticket,
             verdict::{MayHaveRunReason, NotRunReason, Verdict},
         },
@@ -33,7 +33,7 @@
 /// Interval at which queued claims are checked against the write budget, in milliseconds.
 const PUMP_INTERVAL_MS: u64 = 5;
 
-type ReplySender = oneshot::Sender<Result<Ticket, ClaimFault>>;
+type ReplySender = oneshot::Sender<Result<Ticket, ClaimError>>;
 
 #[derive(Debug)]
 struct Inner {
@@ -84,7 +84,7 @@
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = self.timer.subscribe(PUMP_INTERVAL_MS);
         while ticks.recv().await.is_some() {
-            let actions = self.lock().queue.pump(self.timer.now());
+            let actions = self.lock().queue.start_next_write(self.timer.now());
             self.execute(actions);
         }
     }
@@ -104,12 +104,12 @@
             self.cache_binding(row, ticket);
             return Ok(ticket);
         }
-        let fresh = self.state.mint(1).pop().ok_or(Verdict::NotRun {
+        let new_ticket = self.state.mint(1).pop().ok_or(Verdict::NotRun {
             reason: NotRunReason::NoTickets,
             retry_after_ms: TICKET_RETRY_AFTER_MS,
         })?;
         let ticket = self
-            .bind(row.clone(), fresh)
+            .bind(row.clone(), new_ticket)
             .await
             .map_err(not_bound_verdict)?;
         self.cache_binding(row, ticket);
@@ -141,17 +141,24 @@
         self.read_binding(row).await.map_err(|_| unknown)
     }
 
-    async fn bind(self: &Arc<Self>, row: String, fresh: Ticket) -> Result<Ticket, ClaimFault> {
+    async fn bind(self: &Arc<Self>, row: String, new_ticket: Ticket) -> Result<Ticket, ClaimError> {
         let (reply, bound) = oneshot::channel();
         let actions = {
             let mut inner = self.lock();
             inner.next_id += 1;
             let id = ClaimId(inner.next_id);
             inner.waiters.insert(id, reply);
-            inner.queue.ask(self.timer.now(), Claim { id, row, fresh })
+            inner.queue.submit(
+                self.timer.now(),
+                Claim {
+                    id,
+                    row,
+                    new_ticket,
+                },
+            )
         };
         self.execute(actions);
-        bound.await.unwrap_or(Err(ClaimFault::StoreUnavailable))
+        bound.await.unwrap_or(Err(ClaimError::StoreUnavailable))
     }
 
     fn execute(self: &Arc<Self>, actions: Vec<ClaimAction>) {
@@ -169,7 +176,7 @@
         }
     }
 
-    fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimFault>) {
+    fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimError>) {
         if let Some(reply) = self.lock().waiters.remove(&id) {
             // A client that has disconnected retries with the same key.
             let _ = reply.send(result);
@@ -183,13 +190,16 @@
             Err(StoreError::Unavailable(_)) => WriteOutcome::Unavailable,
             Err(StoreError::OutcomeUnknown(_)) => WriteOutcome::Unknown,
         };
-        let actions = self.lock().queue.written(self.timer.now(), &outcome);
+        let actions = self
+            .lock()
+            .queue
+            .handle_write_outcome(self.timer.now(), &outcome);
         self.execute(actions);
     }
 
     async fn read(self: Arc<Self>, id: ClaimId, row: String) {
         let found = self.read_binding(&row).await.ok().flatten();
-        self.reply(id, found.ok_or(ClaimFault::StoreUnavailable));
+        self.reply(id, found.ok_or(ClaimError::StoreUnavailable));
     }
 
     async fn read_binding(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
@@ -224,20 +234,20 @@
             .iter()
             .map(|claim| Put {
                 key: claim.row.clone(),
-                value: Some(claim.fresh.to_string()),
+                value: Some(claim.new_ticket.to_string()),
             })
             .collect(),
     }
 }
 
 /// The key was read as unbound and the new ticket stays unused, so nothing ran under the key.
-const fn not_bound_verdict(fault: ClaimFault) -> Verdict {
+const fn not_bound_verdict(fault: ClaimError) -> Verdict {
     match fault {
-        ClaimFault::QueueFull => Verdict::NotRun {
+        ClaimError::QueueFull => Verdict::NotRun {
             reason: NotRunReason::ClaimBudget,
             retry_after_ms: BUDGET_RETRY_AFTER_MS,
         },
-        ClaimFault::StoreUnavailable => Verdict::NotRun {
+        ClaimError::StoreUnavailable => Verdict::NotRun {
             reason: NotRunReason::StoreUnavailable,
             retry_after_ms: STORE_RETRY_AFTER_MS,
         },
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -91,7 +91,7 @@
 
     fn refresh_home_choice(&mut self, now: Instant) {
         let mut homes = self.tickets.homes(now);
-        homes.retain(|home| self.directory.takes_work(now, *home));
+        homes.retain(|home| self.directory.accepts_work(now, *home));
         prefer_open_homes(&mut homes, &self.directory, self.in_force.as_ref());
         self.home_choice.refresh(now, homes);
     }
@@ -105,7 +105,7 @@
             ..
         } = self;
         let mut mint_at = |home| {
-            if !directory.takes_work(now, home) {
+            if !directory.accepts_work(now, home) {
                 return None;
             }
             tickets.mint(now, home)
@@ -154,8 +154,8 @@
         let now = self.timer.now();
         let mut inner = self.lock();
         match announcement.grant.take() {
-            Some(grant) => inner.tickets.receive(now, grant),
-            None => inner.tickets.forget(announcement.agent),
+            Some(grant) => inner.tickets.store_grant(now, grant),
+            None => inner.tickets.remove_grant(announcement.agent),
         }
         let successors = inner.successors_of(now, &announcement);
         let (config_version, zone_open) = inner.gate_decision(&announcement);
@@ -245,12 +245,12 @@
     /// Records that a call to an agent failed.
     pub(crate) fn record_call_failure(&self, agent: AgentId) {
         let now = self.timer.now();
-        self.lock().directory.call_failed(now, agent);
+        self.lock().directory.record_call_failure(now, agent);
     }
 
     /// Records that an agent replied to a call.
     pub(crate) fn record_call_success(&self, agent: AgentId) {
-        self.lock().directory.call_answered(agent);
+        self.lock().directory.record_call_success(agent);
     }
 
     /// Returns a service's declaration from the configuration in force.
@@ -304,7 +304,7 @@
             .directory
             .candidates(now, &in_force.document, name, service);
         let mut homes = inner.tickets.homes(now);
-        homes.retain(|home| inner.directory.takes_work(now, *home));
+        homes.retain(|home| inner.directory.accepts_work(now, *home));
         // The same homes as in the home choice, so that each has its own runners.
         prefer_open_homes(&mut homes, &inner.directory, Some(in_force));
         Some(RunnerRing::new(active_homes(homes), runners))
@@ -315,8 +315,13 @@
         let now = self.timer.now();
         self.lock()
             .directory
-            .listed()
-            .map(|view| (view.announcement.clone(), now.millis_since(view.heard_at)))
+            .agents()
+            .map(|view| {
+                (
+                    view.announcement.clone(),
+                    now.millis_since(view.last_heard_at),
+                )
+            })
             .collect()
     }
 
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -124,7 +124,7 @@
         let mut inner = self.lock();
         let local_entry = inner.local_entry.clone();
         let scan = inner.roster.apply_scan(now, &local_entry, rows, heartbeats);
-        if scan.own_row_stands {
+        if scan.own_row_exists {
             let others: BTreeSet<AgentId> = inner
                 .roster
                 .others(local_entry.entry)
@@ -167,7 +167,7 @@
             from: inner.local_entry.clone(),
             version: inner.gate.status(now).version,
             reports: std::mem::take(&mut agent_digest.reports),
-            beats: std::mem::take(&mut agent_digest.beats),
+            beats: std::mem::take(&mut agent_digest.heartbeats),
         };
         (digest, agent_digest)
     }
@@ -184,7 +184,7 @@
             .add_announced(now, digest.from, self.outage_limit_ms);
         for report in digest.reports {
             if report.announcement.leaving {
-                inner.tickets.forget(report.announcement.agent);
+                inner.tickets.remove_grant(report.announcement.agent);
             }
             inner.directory.record_report(now, from, report);
         }
--- a/src/entry/roster_sync.rs
+++ b/src/entry/roster_sync.rs
@@ -4,7 +4,7 @@
     super::{ConfigStore, EntryState},
     crate::{
         core::{
-            roster::{ROSTER_PREFIX, Roster, RosterRow, beat_key, entry_key},
+            roster::{ROSTER_PREFIX, Roster, RosterRow, entry_key, heartbeat_key},
             ticket::AgentId,
             time::Instant,
         },
@@ -86,7 +86,7 @@
             checks: vec![check(key.clone(), 0)],
             puts: vec![
                 put(key, Some(value)),
-                put(beat_key(row.entry.entry), Some(String::new())),
+                put(heartbeat_key(row.entry.entry), Some(String::new())),
             ],
         };
         let sent_at = self.timer.now();
@@ -110,7 +110,7 @@
         let entry = self.state.local_entry().entry;
         let transaction = Transaction {
             checks: vec![check(entry_key(entry), INITIAL_ROW_VERSION)],
-            puts: vec![put(beat_key(entry), Some(String::new()))],
+            puts: vec![put(heartbeat_key(entry), Some(String::new()))],
         };
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await? {
@@ -150,11 +150,11 @@
             .state
             .apply_roster_scan(requested_at, entries, &heartbeats);
         self.scanned_at = Some(requested_at);
-        if !scan.own_row_stands {
+        if !scan.own_row_exists {
             self.renew_identity();
             return Ok(());
         }
-        for (entry, heartbeat_version) in scan.gone {
+        for (entry, heartbeat_version) in scan.expired {
             log::warn!(entry = entry.0; "removing a dead entry from the roster");
             self.remove_entry(entry, Some(heartbeat_version)).await?;
         }
@@ -166,10 +166,10 @@
         entry: AgentId,
         heartbeat_version: Option<u64>,
     ) -> Result<TransactionOutcome, StoreError> {
-        let checks = heartbeat_version.map(|version| check(beat_key(entry), version));
+        let checks = heartbeat_version.map(|version| check(heartbeat_key(entry), version));
         let transaction = Transaction {
             checks: checks.into_iter().collect(),
-            puts: Roster::keys(entry).map(|key| put(key, None)).into(),
+            puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
         };
         self.table.transact(transaction).await
     }
@@ -180,7 +180,7 @@
     let entry = state.local_entry().entry;
     let transaction = Transaction {
         checks: Vec::new(),
-        puts: Roster::keys(entry).map(|key| put(key, None)).into(),
+        puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
     };
     if let Err(error) = table.transact(transaction).await {
         log::warn!(error:% = error; "failed to remove this entry from the roster");
--- a/src/platform/errors.rs
+++ b/src/platform/errors.rs
@@ -1,31 +1,31 @@
-//! Why a call or a text of the platform can't be used.
+//! Errors of the platform's calls and formats.
 
 use {crate::ports::StoreError, http::StatusCode, quick_error::quick_error};
 
 quick_error! {
-    /// A call that gave nothing, or a text that can't be read.
+    /// A failed call, or data that can't be parsed.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The request can't be formed.
+        /// The request is invalid.
         Request(error: http::Error) {
             from()
-            display("the request can't be formed: {}", error)
+            display("invalid request: {}", error)
         }
-        /// No connection; nothing was done.
+        /// No connection; the call was not executed.
         NoConnection(detail: String) {
             display("no connection: {}", detail)
         }
-        /// The connection broke or stayed silent; the call may have been carried out.
-        NoAnswer(detail: String) {
-            display("no answer: {}", detail)
+        /// The connection failed or timed out; the call may have been executed.
+        NoResponse(detail: String) {
+            display("no response: {}", detail)
         }
-        /// The other side refused; nothing was done.
-        Refused(status: StatusCode) {
-            display("refused with status {}", status)
+        /// The server rejected the call and did not execute it.
+        Rejected(status: StatusCode) {
+            display("rejected with status {}", status)
         }
-        /// A body or row that can't be read.
-        Unreadable(detail: String) {
-            display("unreadable: {}", detail)
+        /// A body or row can't be parsed.
+        Malformed(detail: String) {
+            display("malformed data: {}", detail)
         }
     }
 }
@@ -34,11 +34,11 @@
     fn from(error: PlatformError) -> Self {
         let detail = error.to_string();
         match error {
-            PlatformError::NoAnswer(_) => Self::OutcomeUnknown(detail),
+            PlatformError::NoResponse(_) => Self::OutcomeUnknown(detail),
             PlatformError::Request(_)
             | PlatformError::NoConnection(_)
-            | PlatformError::Refused(_)
-            | PlatformError::Unreadable(_) => Self::Unavailable(detail),
+            | PlatformError::Rejected(_)
+            | PlatformError::Malformed(_) => Self::Unavailable(detail),
         }
     }
 }
