--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -31,7 +31,7 @@
 const MAX_CONCURRENT_READS: usize = 256;
 const MAX_CACHED_BINDINGS: usize = 20_000;
 /// Interval at which queued claims are checked against the write budget, in milliseconds.
-const PUMP_INTERVAL_MS: u64 = 5;
+const QUEUE_POLL_INTERVAL_MS: u64 = 5;
 
 type ReplySender = oneshot::Sender<Result<Ticket, ClaimError>>;
 
@@ -82,7 +82,7 @@
 
     /// Submits queued claims at the allowed rate until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut ticks = self.timer.subscribe(PUMP_INTERVAL_MS);
+        let mut ticks = self.timer.subscribe(QUEUE_POLL_INTERVAL_MS);
         while ticks.recv().await.is_some() {
             let actions = self.lock().queue.start_next_write(self.timer.now());
             self.execute(actions);
