--- a/src/entry/tests/config/mod.rs
+++ b/src/entry/tests/config/mod.rs
@@ -1,9 +1,9 @@
-//! Tests of the keeper against a fake platform with faults, in virtual time.
+//! Tests of the configuration store against a fake platform with faults, in virtual time.
 
+mod concurrent_changes;
 mod fake_platform;
-mod passed_on;
-mod races;
-mod single;
+mod forwarded;
+mod single_change;
 
 use {
     crate::{
@@ -14,7 +14,7 @@
             ticket::AgentId,
         },
         entry::{
-            Change, ConfigKeeper, Edit, EntryState, based_on_all,
+            Change, ConfigStore, Edit, EntryState, based_on_all,
             tests::fakes::{NoMetrics, PausedTimer},
         },
         ports::TimerService,
@@ -23,27 +23,27 @@
     std::sync::Arc,
 };
 
-/// What becomes of a call, as the fake decides.
+/// Fault injected into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallFault {
-    /// Nothing goes wrong.
-    Fine,
-    /// The platform refuses.
+    /// The call succeeds.
+    None,
+    /// The platform refuses the call.
     Unavailable,
-    /// The reply is lost after the write took effect.
+    /// The write takes effect, but the reply is lost.
     ReplyLost,
-    /// The call is lost.
+    /// The call is lost and has no effect.
     CallLost,
-    /// The caller gives up; the write takes effect later.
-    Late,
+    /// The caller times out; the write takes effect later.
+    Delayed,
 }
 
-/// All that can go wrong.
+/// Faults injected at random.
 const FAULTS: [CallFault; 4] = [
     CallFault::Unavailable,
     CallFault::ReplyLost,
     CallFault::CallLost,
-    CallFault::Late,
+    CallFault::Delayed,
 ];
 
 fn operator(name: &str, sections: &[&str]) -> OperatorSettings {
@@ -57,30 +57,34 @@
     }
 }
 
-/// For how long an entry may grant permits without the platform; of no matter here.
 const OUTAGE_LIMIT_MS: u64 = 3_600_000;
 
-fn keeper(platform: &Arc<FakePlatform>) -> Arc<ConfigKeeper> {
+fn config_store(platform: &Arc<FakePlatform>) -> Arc<ConfigStore> {
     let timer: Arc<dyn TimerService> = Arc::new(PausedTimer(tokio::time::Instant::now()));
-    let me = PeerEntry {
+    let local_entry = PeerEntry {
         entry: AgentId(1),
         name: "entry".to_owned(),
         peer_addr: ([127, 0, 0, 1], 1).into(),
     };
-    let state = Arc::new(EntryState::new(me, Arc::clone(&timer), OUTAGE_LIMIT_MS, 1));
-    platform.put_on_roster(&state);
-    Arc::new(ConfigKeeper {
+    let state = Arc::new(EntryState::new(
+        local_entry,
+        Arc::clone(&timer),
+        OUTAGE_LIMIT_MS,
+        1,
+    ));
+    platform.register_entry(&state);
+    Arc::new(ConfigStore {
         state,
         table: Arc::clone(platform) as _,
         objects: Arc::clone(platform) as _,
         timer,
         metrics: Arc::new(NoMetrics),
         operators: vec![operator("ops", &SECTIONS)],
-        turn: tokio::sync::Mutex::default(),
+        change_lock: tokio::sync::Mutex::default(),
     })
 }
 
-/// A document whose sections each hold one value, in the order of [`SECTIONS`].
+/// Returns a document with one value per section, in the order of [`SECTIONS`].
 fn document(values: [u32; 4]) -> String {
     let [memory, deadline, region, team] = values;
     format!(
@@ -112,7 +116,7 @@
     }
 }
 
-/// Runs a test in virtual time: whenever all tasks sleep, the clock jumps.
+/// Runs a test on a paused clock, which advances whenever all tasks sleep.
 fn in_virtual_time<T>(test: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
