--- a/src/adapters/metrics/otel_metrics.rs
+++ b/src/adapters/metrics/otel_metrics.rs
@@ -1,10 +1,12 @@
 //! Counters and gauges on opentelemetry's Prometheus exporter.
 
 use {
-    crate::ports::{Counter, Gauge, Metrics, Span},
+    crate::ports::{Counter, Gauge, Histogram, Metrics},
     opentelemetry::{
         KeyValue,
-        metrics::{Counter as OtelCounter, Gauge as OtelGauge, Histogram, MeterProvider},
+        metrics::{
+            Counter as OtelCounter, Gauge as OtelGauge, Histogram as OtelHistogram, MeterProvider,
+        },
     },
     opentelemetry_sdk::{error::OTelSdkError, metrics::SdkMeterProvider},
     prometheus::{Encoder, Registry, TextEncoder},
@@ -16,7 +18,7 @@
     registry: Registry,
     counters: BTreeMap<Counter, OtelCounter<u64>>,
     gauges: BTreeMap<Gauge, OtelGauge<u64>>,
-    spans: BTreeMap<Span, Histogram<u64>>,
+    histograms: BTreeMap<Histogram, OtelHistogram<u64>>,
     // Holds the reader alive that the registry gathers from.
     _provider: SdkMeterProvider,
 }
@@ -41,15 +43,15 @@
             .iter()
             .map(|gauge| (*gauge, meter.u64_gauge(gauge.as_str()).build()))
             .collect();
-        let spans = Span::ALL
+        let histograms = Histogram::ALL
             .iter()
-            .map(|span| (*span, meter.u64_histogram(span.as_str()).build()))
+            .map(|histogram| (*histogram, meter.u64_histogram(histogram.as_str()).build()))
             .collect();
         Ok(Self {
             registry,
             counters,
             gauges,
-            spans,
+            histograms,
             _provider: provider,
         })
     }
@@ -74,8 +76,8 @@
         }
     }
 
-    fn observe(&self, span: Span, reason: &'static str, elapsed_ms: u64) {
-        if let Some(instrument) = self.spans.get(&span) {
+    fn observe(&self, histogram: Histogram, reason: &'static str, elapsed_ms: u64) {
+        if let Some(instrument) = self.histograms.get(&histogram) {
             instrument.record(elapsed_ms, &[KeyValue::new("reason", reason)]);
         }
     }
--- a/src/adapters/peer/h2_client.rs
+++ b/src/adapters/peer/h2_client.rs
@@ -182,7 +182,7 @@
 }
 
 fn lost(error: impl ToString) -> PeerError {
-    PeerError::Lost(error.to_string())
+    PeerError::OutcomeUnknown(error.to_string())
 }
 
 #[async_trait]
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -65,7 +65,7 @@
 }
 
 fn lost() -> Result<PeerReply, PeerError> {
-    Err(PeerError::Lost("cut".to_owned()))
+    Err(PeerError::OutcomeUnknown("cut".to_owned()))
 }
 
 fn unreachable() -> Result<PeerReply, PeerError> {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -211,7 +211,7 @@
                 Ok(report(status))
             }
             Ok(Ok(_)) => Err(home_unreachable()),
-            Ok(Err(PeerError::Unreachable(_) | PeerError::Lost(_))) | Err(_) => {
+            Ok(Err(PeerError::Unreachable(_) | PeerError::OutcomeUnknown(_))) | Err(_) => {
                 self.state.call_failed(ticket.id.home);
                 Err(home_unreachable())
             }
--- a/src/entry/tests/fakes.rs
+++ b/src/entry/tests/fakes.rs
@@ -8,7 +8,7 @@
 use {
     crate::{
         core::time::Instant,
-        ports::{Counter, Gauge, Metrics, Span, TimerService},
+        ports::{Counter, Gauge, Histogram, Metrics, TimerService},
     },
     tokio::sync::mpsc,
 };
@@ -35,7 +35,7 @@
 impl Metrics for NoMetrics {
     fn add(&self, _counter: Counter, _reason: &'static str, _amount: u64) {}
 
-    fn observe(&self, _: Span, _: &'static str, _: u64) {}
+    fn observe(&self, _: Histogram, _: &'static str, _: u64) {}
 
     fn set(&self, _gauge: Gauge, _value: u64) {}
 
--- a/src/entry/tests/jobs.rs
+++ b/src/entry/tests/jobs.rs
@@ -63,7 +63,7 @@
         };
         match behaviour {
             Some(Behaviour::Reply(status)) => Ok(PeerReply::Job(status)),
-            Some(Behaviour::Lost) => Err(PeerError::Lost("cut".to_owned())),
+            Some(Behaviour::Lost) => Err(PeerError::OutcomeUnknown("cut".to_owned())),
             Some(Behaviour::Mute) | None => std::future::pending().await,
         }
     }
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -230,13 +230,13 @@
         })
     }
 
-    async fn wait_for_operators(
+    async fn wait_for_operator_change(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> Result<OperatorChange, StoreError> {
         let Some(page) = self.changes(OPERATORS_TABLE, after, wait_ms).await? else {
-            return Ok(OperatorChange::Forgotten);
+            return Ok(OperatorChange::HistoryUnavailable);
         };
         let version = page.ver;
         if page.rows.is_empty() {
@@ -260,7 +260,7 @@
         Ok((entries.collect(), version))
     }
 
-    async fn wait_for_entries(
+    async fn wait_for_entry_list_change(
         &self,
         after: u64,
         wait_ms: u64,
--- a/src/ports/decision_log.rs
+++ b/src/ports/decision_log.rs
@@ -14,13 +14,13 @@
 /// Takes lines in without ever waiting.
 pub(crate) trait DecisionLog: Debug + Send + Sync {
     /// Takes the fields of one line, a JSON object.
-    fn write(&self, rank: LogPriority, fields: serde_json::Value);
+    fn write(&self, priority: LogPriority, fields: serde_json::Value);
 }
 
 /// Writes a decision down.
-pub(crate) fn log_decision<N: Serialize>(log: &dyn DecisionLog, rank: LogPriority, decision: &N) {
-    match serde_json::to_value(decision) {
-        Ok(fields) => log.write(rank, fields),
+pub(crate) fn log_decision<E: Serialize>(log: &dyn DecisionLog, priority: LogPriority, event: &E) {
+    match serde_json::to_value(event) {
+        Ok(fields) => log.write(priority, fields),
         Err(error) => log::warn!(error:% = error; "a decision can't be written down"),
     }
 }
--- a/src/ports/feed_cursor.rs
+++ b/src/ports/feed_cursor.rs
@@ -10,7 +10,7 @@
     after: u64,
     lag: usize,
     /// Versions of the newest answers.
-    told: VecDeque<u64>,
+    recent_versions: VecDeque<u64>,
 }
 
 impl FeedCursor {
@@ -19,7 +19,7 @@
         Self {
             after: version,
             lag,
-            told: VecDeque::new(),
+            recent_versions: VecDeque::new(),
         }
     }
 
@@ -30,9 +30,9 @@
 
     /// Takes in an answer that tells of no change up to a version.
     pub(crate) fn advance(&mut self, version: u64) {
-        self.told.push_back(version);
-        if self.told.len() > self.lag
-            && let Some(version) = self.told.pop_front()
+        self.recent_versions.push_back(version);
+        if self.recent_versions.len() > self.lag
+            && let Some(version) = self.recent_versions.pop_front()
         {
             self.after = version;
         }
--- a/src/ports/metrics.rs
+++ b/src/ports/metrics.rs
@@ -56,7 +56,7 @@
 
 reasons! {
     /// A time that is measured again and again, in milliseconds.
-    Span {
+    Histogram {
         /// From a job's arrival to its answer, by the answer.
         JobTook => "rattanslip.job_took_ms",
         /// From a job's arrival until its last task was ordered, by the answer.
@@ -78,7 +78,7 @@
     fn set(&self, gauge: Gauge, value: u64);
 
     /// Takes in a time that was measured.
-    fn observe(&self, span: Span, reason: &'static str, elapsed_ms: u64);
+    fn observe(&self, histogram: Histogram, reason: &'static str, elapsed_ms: u64);
 
     /// All values in Prometheus's text format.
     fn render(&self) -> String;
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -17,7 +17,7 @@
     backend_server::BackendServer,
     decision_log::{DecisionLog, LogPriority, log_decision},
     feed_cursor::FeedCursor,
-    metrics::{Counter, Gauge, Metrics, Span},
+    metrics::{Counter, Gauge, Histogram, Metrics},
     peer_network::{PeerError, PeerNetwork, SessionIo},
     site_store::{EntryListChange, EntryListReplica, OperatorChange, OperatorRows, SiteStore},
     store::{Check, ObjectStore, Put, Row, StoreError, Table, Transaction, TransactionOutcome},
--- a/src/ports/peer_network.rs
+++ b/src/ports/peer_network.rs
@@ -20,7 +20,7 @@
             display("peer unreachable, nothing was sent: {}", detail)
         }
         /// The connection broke or went silent after the request was sent.
-        Lost(detail: String) {
+        OutcomeUnknown(detail: String) {
             display("peer lost, the request may have arrived: {}", detail)
         }
     }
--- a/src/ports/site_store.rs
+++ b/src/ports/site_store.rs
@@ -46,7 +46,7 @@
         document: Option<Document>,
     },
     /// What has changed is no longer known: all is to be read anew.
-    Forgotten,
+    HistoryUnavailable,
 }
 
 /// One of the copies of the list of entries.
@@ -74,7 +74,7 @@
     async fn read_operator_rows(&self) -> Result<OperatorRows, StoreError>;
 
     /// Waits up to `wait_ms` for a change of it after a version.
-    async fn wait_for_operators(
+    async fn wait_for_operator_change(
         &self,
         after: u64,
         wait_ms: u64,
@@ -83,19 +83,22 @@
     /// Reads where entries are, and the store's version.
     async fn read_entries(
         &self,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
     ) -> Result<(Vec<SocketAddr>, u64), StoreError>;
 
     /// Waits up to `wait_ms` for a change of any copy after a version.
-    async fn wait_for_entries(
+    async fn wait_for_entry_list_change(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> Result<EntryListChange, StoreError>;
 
     /// Puts an entry into a copy; the version of its row there.
-    async fn add_entry(&self, entry: SocketAddr, copy: EntryListReplica)
-    -> Result<u64, StoreError>;
+    async fn add_entry(
+        &self,
+        entry: SocketAddr,
+        replica: EntryListReplica,
+    ) -> Result<u64, StoreError>;
 
     /// Removes an entry from a copy unless its row is no longer of this version.
     ///
@@ -104,7 +107,7 @@
     async fn remove_entry(
         &self,
         entry: SocketAddr,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
         version: u64,
     ) -> Result<(), StoreError>;
 
--- a/src/ports/tests.rs
+++ b/src/ports/tests.rs
@@ -5,7 +5,7 @@
 const OPERATING_PAGE: &str = include_str!("../../docs/OPERATING.md");
 
 #[test]
-fn the_page_names_every_metric() {
+fn operating_page_lists_every_metric() {
     let counters = Counter::ALL
         .iter()
         .map(|counter| format!("`{}_total`", counter.as_str().replace('.', "_")));
--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -98,7 +98,7 @@
         loop {
             match self
                 .store
-                .wait_for_entries(cursor.after(), LONG_POLL_MS)
+                .wait_for_entry_list_change(cursor.after(), LONG_POLL_MS)
                 .await?
             {
                 EntryListChange::None { version } => cursor.advance(version),
--- a/src/site_entry/dispatch_loop.rs
+++ b/src/site_entry/dispatch_loop.rs
@@ -12,7 +12,8 @@
             link::{AgentFrame, EntryFrame},
         },
         ports::{
-            Counter, DecisionLog, Gauge, LogPriority, Metrics, Span, TimerService, log_decision,
+            Counter, DecisionLog, Gauge, Histogram, LogPriority, Metrics, TimerService,
+            log_decision,
         },
     },
     std::{collections::BTreeMap, sync::Arc},
@@ -178,8 +179,9 @@
                 waited_ms,
                 ..
             } => {
-                self.metrics.observe(Span::JobTook, answer, *took_ms);
-                self.metrics.observe(Span::JobWaited, answer, *waited_ms);
+                self.metrics.observe(Histogram::JobTook, answer, *took_ms);
+                self.metrics
+                    .observe(Histogram::JobWaited, answer, *waited_ms);
                 if *answer == "completed" {
                     LogPriority::Routine
                 } else {
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -84,7 +84,7 @@
         loop {
             let change = self
                 .store
-                .wait_for_operators(cursor.after(), LONG_POLL_MS)
+                .wait_for_operator_change(cursor.after(), LONG_POLL_MS)
                 .await;
             match change {
                 Ok(OperatorChange::None { version }) => cursor.advance(version),
@@ -96,7 +96,7 @@
                     self.apply_changes(version, zones, document);
                     cursor = FeedCursor::new(version, FEED_LAG_RESPONSES);
                 }
-                Ok(OperatorChange::Forgotten) => {
+                Ok(OperatorChange::HistoryUnavailable) => {
                     health.record_success();
                     return;
                 }
--- a/src/site_entry/tests/fakes.rs
+++ b/src/site_entry/tests/fakes.rs
@@ -4,8 +4,8 @@
     crate::{
         core::work::WorkerView,
         ports::{
-            Counter, DecisionLog, EntryListChange, EntryListReplica, Gauge, LogPriority, Metrics,
-            OperatorChange, OperatorRows, SiteStore, Span, StoreError,
+            Counter, DecisionLog, EntryListChange, EntryListReplica, Gauge, Histogram, LogPriority,
+            Metrics, OperatorChange, OperatorRows, SiteStore, StoreError,
         },
     },
     async_trait::async_trait,
@@ -22,7 +22,7 @@
 
     fn set(&self, _: Gauge, _: u64) {}
 
-    fn observe(&self, _: Span, _: &'static str, _: u64) {}
+    fn observe(&self, _: Histogram, _: &'static str, _: u64) {}
 
     fn render(&self) -> String {
         String::new()
@@ -51,7 +51,7 @@
         unavailable()
     }
 
-    async fn wait_for_operators(&self, _: u64, _: u64) -> Result<OperatorChange, StoreError> {
+    async fn wait_for_operator_change(&self, _: u64, _: u64) -> Result<OperatorChange, StoreError> {
         unavailable()
     }
 
@@ -62,7 +62,11 @@
         unavailable()
     }
 
-    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<EntryListChange, StoreError> {
+    async fn wait_for_entry_list_change(
+        &self,
+        _: u64,
+        _: u64,
+    ) -> Result<EntryListChange, StoreError> {
         unavailable()
     }
 
--- a/src/site_entry/tests/site/store_model.rs
+++ b/src/site_entry/tests/site/store_model.rs
@@ -285,7 +285,7 @@
         let (newest, history_after) = (self.store.newest(), self.store.state().history_after);
         let version = newest.zones.version;
         if after < history_after {
-            return OperatorChange::Forgotten;
+            return OperatorChange::HistoryUnavailable;
         }
         if version <= after {
             return OperatorChange::None { version };
@@ -309,7 +309,7 @@
         Ok(rows)
     }
 
-    async fn wait_for_operators(
+    async fn wait_for_operator_change(
         &self,
         after: u64,
         wait_ms: u64,
@@ -331,7 +331,11 @@
         refused()
     }
 
-    async fn wait_for_entries(&self, _: u64, _: u64) -> Result<EntryListChange, StoreError> {
+    async fn wait_for_entry_list_change(
+        &self,
+        _: u64,
+        _: u64,
+    ) -> Result<EntryListChange, StoreError> {
         refused()
     }
 
