--- a/src/adapters/backend/gated_connection.rs
+++ b/src/adapters/backend/gated_connection.rs
@@ -25,7 +25,7 @@
 /// No request waits to be written, or its first bytes have been.
 const WRITTEN: u8 = 0;
 /// A request waits to be written.
-const WAITING: u8 = 1;
+const PENDING: u8 = 1;
 /// The request that waited was refused: none of its bytes will be written.
 const REFUSED: u8 = 2;
 
@@ -48,25 +48,25 @@
 
     /// A request is about to be handed to the connection.
     fn arm(&self) {
-        self.state.store(WAITING, Ordering::SeqCst);
+        self.state.store(PENDING, Ordering::SeqCst);
     }
 
     /// Makes sure that the request is never written; false if some of it was.
     pub(super) fn refuse(&self) -> bool {
         let swapped =
             self.state
-                .compare_exchange(WAITING, REFUSED, Ordering::SeqCst, Ordering::SeqCst);
+                .compare_exchange(PENDING, REFUSED, Ordering::SeqCst, Ordering::SeqCst);
         swapped.is_ok() || swapped == Err(REFUSED)
     }
 
     /// Whether the permit had ended when the request was about to be written.
-    pub(super) fn permit_ended(&self) -> bool {
+    pub(super) fn is_permit_expired(&self) -> bool {
         !self.permit.is_valid(self.timer.now())
     }
 
     /// Guards against a process that was frozen after it took a start: the permit may have ended
     /// and the zone been taken out since. Only the system call itself comes after this check.
-    fn check(&self) -> io::Result<()> {
+    fn authorize_write(&self) -> io::Result<()> {
         if self.state.load(Ordering::SeqCst) == WRITTEN {
             return Ok(());
         }
@@ -74,7 +74,7 @@
         let to = if is_allowed { WRITTEN } else { REFUSED };
         match self
             .state
-            .compare_exchange(WAITING, to, Ordering::SeqCst, Ordering::SeqCst)
+            .compare_exchange(PENDING, to, Ordering::SeqCst, Ordering::SeqCst)
         {
             Ok(_) if is_allowed => Ok(()),
             Err(WRITTEN) => Ok(()),
@@ -85,7 +85,7 @@
 
 impl SocketObserver for Arc<WriteGate> {
     fn before_write(&self) -> io::Result<()> {
-        self.check()
+        self.authorize_write()
     }
 }
 
--- a/src/adapters/backend/http_backend.rs
+++ b/src/adapters/backend/http_backend.rs
@@ -46,7 +46,7 @@
     timer: Arc<dyn TimerService>,
     /// Open connections without a request, with where they lead.
     idle: Mutex<Vec<(SocketAddr, GatedConnection)>>,
-    connections: usize,
+    max_idle_connections: usize,
     /// For requests that start nothing.
     client: Client<HttpConnector, Full<Bytes>>,
 }
@@ -54,7 +54,7 @@
 impl HttpBackend {
     /// No backend server yet; at most `connections` idle connections are kept.
     pub(crate) fn new(
-        connections: usize,
+        max_idle_connections: usize,
         permit: Arc<SharedPermit>,
         timer: Arc<dyn TimerService>,
     ) -> Self {
@@ -66,7 +66,7 @@
             permit,
             timer,
             idle: Mutex::default(),
-            connections,
+            max_idle_connections,
             client,
         }
     }
@@ -101,10 +101,10 @@
     async fn connection(&self, addr: SocketAddr) -> Option<GatedConnection> {
         loop {
             let idle = self.lock_idle().pop();
-            let Some((leads_to, mut connection)) = idle else {
+            let Some((connected_to, mut connection)) = idle else {
                 break;
             };
-            if leads_to == addr && connection.is_usable().await {
+            if connected_to == addr && connection.is_usable().await {
                 return Some(connection);
             }
         }
@@ -112,9 +112,9 @@
         GatedConnection::open(addr, gate).await.ok()
     }
 
-    fn keep(&self, addr: SocketAddr, connection: GatedConnection) {
+    fn store_idle(&self, addr: SocketAddr, connection: GatedConnection) {
         let mut idle = self.lock_idle();
-        if idle.len() < self.connections {
+        if idle.len() < self.max_idle_connections {
             idle.push((addr, connection));
         }
     }
@@ -127,7 +127,7 @@
     ) -> TaskOutcome {
         let response = match connection.send(request).await {
             Ok(response) => response,
-            Err(_) => return unanswered(&connection.gate(), MayHaveRunReason::BackendLost),
+            Err(_) => return failure_outcome(&connection.gate(), MayHaveRunReason::BackendLost),
         };
         let status = response.status();
         let refused = response
@@ -136,7 +136,7 @@
             .is_some_and(|value| value == "1");
         let body = response.into_body().collect().await;
         if body.is_ok() {
-            self.keep(addr, connection);
+            self.store_idle(addr, connection);
         }
         if refused && !status.is_success() {
             return not_run(NotRunReason::BackendRefused);
@@ -156,11 +156,11 @@
 }
 
 /// The outcome of a request that brought no answer: "not run" if none of it was written.
-fn unanswered(gate: &WriteGate, reason: MayHaveRunReason) -> TaskOutcome {
+fn failure_outcome(gate: &WriteGate, reason: MayHaveRunReason) -> TaskOutcome {
     if !gate.refuse() {
         return TaskOutcome::MayHaveRun { reason };
     }
-    not_run(if gate.permit_ended() {
+    not_run(if gate.is_permit_expired() {
         NotRunReason::NoPermit
     } else {
         NotRunReason::BackendDown
@@ -189,7 +189,7 @@
         let gate = connection.gate();
         match timeout_at(deadline, self.exchange(addr, connection, request)).await {
             Ok(outcome) => outcome,
-            Err(_) => unanswered(&gate, MayHaveRunReason::DeadlinePassed),
+            Err(_) => failure_outcome(&gate, MayHaveRunReason::DeadlinePassed),
         }
     }
 
--- a/src/adapters/backend/tests.rs
+++ b/src/adapters/backend/tests.rs
@@ -26,9 +26,9 @@
 
 /// A clock that the test moves.
 #[derive(Debug, Default)]
-struct HandClock(AtomicU64);
+struct ManualClock(AtomicU64);
 
-impl TimerService for HandClock {
+impl TimerService for ManualClock {
     fn now(&self) -> Instant {
         Instant::from_millis(self.0.load(Ordering::SeqCst))
     }
@@ -45,7 +45,7 @@
     read: Arc<Mutex<Vec<u8>>>,
 }
 
-async fn backend(permit: &Arc<SharedPermit>, clock: &Arc<HandClock>) -> (HttpBackend, Server) {
+async fn backend(permit: &Arc<SharedPermit>, clock: &Arc<ManualClock>) -> (HttpBackend, Server) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let addr = listener.local_addr().expect("address");
     let server = Server {
@@ -99,10 +99,10 @@
 /// the zone is taken out. When it goes on, an operator sees a task start in a closed zone. The
 /// clock jumps here as it does over a freeze; not one byte may go out, and "not run" is true.
 #[tokio::test]
-async fn a_request_whose_permit_ended_before_the_write_sends_no_byte() {
+async fn a_request_whose_permit_expired_before_the_write_sends_no_bytes() {
     let (permit, clock) = (
         Arc::new(SharedPermit::default()),
-        Arc::new(HandClock::default()),
+        Arc::new(ManualClock::default()),
     );
     let (backend, server) = backend(&permit, &clock).await;
     permit.set_expiry(Instant::from_millis(3_000));
@@ -123,10 +123,10 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again() {
+async fn an_idle_connection_is_reused() {
     let (permit, clock) = (
         Arc::new(SharedPermit::default()),
-        Arc::new(HandClock::default()),
+        Arc::new(ManualClock::default()),
     );
     permit.set_expiry(Instant::from_millis(3_000));
     let (backend, server) = backend(&permit, &clock).await;
--- a/src/adapters/http/long_body.rs
+++ b/src/adapters/http/body_reader.rs
@@ -11,11 +11,14 @@
 /// Reads a body for as long as it comes without a pause of `pause_ms`; the error says what ended it.
 ///
 /// Guards against a large answer that is given up over and over because it shares its link with others.
-pub(crate) async fn read_long_body(mut body: Incoming, pause_ms: u64) -> Result<Bytes, String> {
-    let pause = Duration::from_millis(pause_ms);
+pub(crate) async fn read_body_with_idle_timeout(
+    mut body: Incoming,
+    idle_timeout_ms: u64,
+) -> Result<Bytes, String> {
+    let idle_timeout = Duration::from_millis(idle_timeout_ms);
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(pause, body.frame()).await;
+        let frame = timeout(idle_timeout, body.frame()).await;
         let Some(frame) = frame.map_err(|_| "timed out".to_owned())? else {
             return Ok(bytes.freeze());
         };
--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -4,7 +4,7 @@
     super::{
         entry_api::{Api, EntryApi},
         job_body::{JobBody, TaskBody},
-        known_job::unless_known,
+        known_job::replace_if_known,
         response::{NEXT_TICKET_HEADER, Refusal, VERDICT_HEADER, job_response, request_response},
     },
     crate::{
@@ -64,7 +64,7 @@
 /// `POST /v1/tickets?count=N`
 #[handler]
 pub(crate) fn get_tickets(api: Api<'_>, Query(query): Query<TicketsQuery>) -> Response {
-    respond(&api, mint_tickets(&api, query.count.unwrap_or(1)))
+    counted_response(&api, mint_tickets(&api, query.count.unwrap_or(1)))
 }
 
 fn mint_tickets(api: &EntryApi, count: usize) -> Result<Response, Refusal> {
@@ -91,8 +91,8 @@
     body: Body,
 ) -> Response {
     let result = submit(&api, request, query, body).await;
-    let result = unless_known(&api, request, result).await;
-    with_next_ticket(&api, respond(&api, result))
+    let result = replace_if_known(&api, request, result).await;
+    with_next_ticket(&api, counted_response(&api, result))
 }
 
 async fn submit(
@@ -104,7 +104,7 @@
     let text = read_body(api, body).await?;
     let job: JobBody = serde_json::from_str(&text)
         .map_err(|error| Refusal::new(NotRunReason::BadRequest, error.to_string()))?;
-    let service = known_service(api, &job.service)?;
+    let service = find_service(api, &job.service)?;
     let spec = job_spec(api, request, job, &service)?;
     let identity = identity(api, request, &spec.team).await?;
     let wait_ms = query
@@ -123,7 +123,7 @@
     Query(query): Query<WaitQuery>,
 ) -> Response {
     let result = poll(&api, &ticket, query).await;
-    respond(&api, result)
+    counted_response(&api, result)
 }
 
 async fn poll(api: &EntryApi, ticket: &str, query: WaitQuery) -> Result<Response, Refusal> {
@@ -136,7 +136,7 @@
 #[handler]
 pub(crate) async fn cancel_job(api: Api<'_>, Path(ticket): Path<String>) -> Response {
     let result = cancel(&api, &ticket).await;
-    respond(&api, result)
+    counted_response(&api, result)
 }
 
 async fn cancel(api: &EntryApi, ticket: &str) -> Result<Response, Refusal> {
@@ -154,8 +154,8 @@
     body: Body,
 ) -> Response {
     let result = run_single(&api, request, service, query, body).await;
-    let result = unless_known(&api, request, result).await;
-    with_next_ticket(&api, respond(&api, result))
+    let result = replace_if_known(&api, request, result).await;
+    with_next_ticket(&api, counted_response(&api, result))
 }
 
 async fn run_single(
@@ -166,7 +166,7 @@
     body: Body,
 ) -> Result<Response, Refusal> {
     let input = read_body(api, body).await?;
-    let service = known_service(api, &name)?;
+    let service = find_service(api, &name)?;
     let job = JobBody {
         service: name,
         deadline_ms: query.deadline_ms,
@@ -204,7 +204,7 @@
         .map_err(|_| Refusal::new(NotRunReason::BadRequest, "the body must be UTF-8"))
 }
 
-fn known_service(api: &EntryApi, name: &str) -> Result<Service, Refusal> {
+fn find_service(api: &EntryApi, name: &str) -> Result<Service, Refusal> {
     api.state.service(name).map_err(|reason| match reason {
         NotRunReason::NoConfiguration => Refusal::retry_after(reason, TICKET_RETRY_AFTER_MS),
         _ => Refusal::new(reason, format!("service \"{name}\"")),
@@ -276,7 +276,7 @@
 }
 
 /// The answer to the client, counted by refusal reason or verdict.
-fn respond(api: &EntryApi, result: Result<Response, Refusal>) -> Response {
+fn counted_response(api: &EntryApi, result: Result<Response, Refusal>) -> Response {
     let response = match result {
         Ok(response) => response,
         Err(refusal) => {
--- a/src/adapters/http/config_body.rs
+++ b/src/adapters/http/config_body.rs
@@ -40,14 +40,14 @@
     pub(crate) fn sections(body: Option<Self>, text: &str) -> Result<BasedOn, String> {
         match body {
             Some(Self::Version(version)) => Ok(based_on_all(version)),
-            Some(Self::Sections(stated)) => by_section(&stated),
+            Some(Self::Sections(versions)) => by_section(&versions),
             None => Ok(based_on_all(split_version_mark(text).0.unwrap_or(0))),
         }
     }
 }
 
-fn by_section(stated: &BTreeMap<String, u64>) -> Result<BasedOn, String> {
-    stated
+fn by_section(versions: &BTreeMap<String, u64>) -> Result<BasedOn, String> {
+    versions
         .iter()
         .map(|(name, version)| {
             SECTIONS
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -16,7 +16,7 @@
 };
 
 /// Longest time that requests under way may take after a stop, in seconds.
-const STOP_LIMIT_S: u64 = 130;
+const SHUTDOWN_TIMEOUT_S: u64 = 130;
 
 /// What the routes work with.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     pub(crate) jobs: Jobs,
     pub(crate) claims: Arc<crate::entry::Claims>,
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config: Arc<ConfigKeeper>,
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) max_body_bytes: usize,
     pub(crate) max_deadline_ms: u64,
@@ -58,15 +58,15 @@
         .at("/ready", get(ready));
     let routes = with_health(routes, Arc::clone(&api.metrics))
         .data(api)
-        .catch_all_error(unroutable);
+        .catch_all_error(route_error_response);
     Server::new(TcpListener::bind(listen))
-        .run_with_graceful_shutdown(routes, stop, Some(Duration::from_secs(STOP_LIMIT_S)))
+        .run_with_graceful_shutdown(routes, stop, Some(Duration::from_secs(SHUTDOWN_TIMEOUT_S)))
         .await
         .map_err(|error| RunError::Listen(listen, error))
 }
 
 /// Answers what no route takes; nothing ran, and the answer says so like any other.
-async fn unroutable(error: poem::Error) -> Response {
+async fn route_error_response(error: poem::Error) -> Response {
     let refusal = Refusal::new(NotRunReason::BadRequest, error.to_string());
     let mut response = refusal.response();
     response.set_status(error.status());
--- a/src/adapters/http/http_server.rs
+++ b/src/adapters/http/http_server.rs
@@ -18,11 +18,11 @@
 };
 
 /// Least buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 /// Pause after an accept that failed, in milliseconds: descriptors may be used up for a moment.
-const ACCEPT_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
 /// Looks at a connection's clock in one header time-out.
-const LOOKS_PER_TIMEOUT: u64 = 2;
+const CHECKS_PER_HEADER_TIMEOUT: u64 = 2;
 
 /// A call, read to its end.
 #[derive(Debug)]
@@ -105,7 +105,7 @@
 #[async_trait]
 pub(crate) trait HttpHandler: Debug + Send + Sync {
     /// Answers one call. Dropped when the caller's connection is gone.
-    async fn handle(&self, call: HttpRequest) -> HttpResponse;
+    async fn handle(&self, request: HttpRequest) -> HttpResponse;
 
     /// The limits in force for connections that are opened now.
     fn limits(&self) -> HttpLimits {
@@ -126,7 +126,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "accepting a connection failed");
-                sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+                sleep(Duration::from_millis(ACCEPT_RETRY_INTERVAL_MS)).await;
             }
         }
     }
@@ -146,18 +146,19 @@
     let service = service_fn(|request| {
         let (handler, clock) = (Arc::clone(&handler), Arc::clone(&clock));
         async move {
-            let call = clock.call();
-            let response = answer(request, handler, limits).await;
-            drop(call);
+            let guard = clock.start_request();
+            let response = read_and_handle(request, handler, limits).await;
+            drop(guard);
             Ok::<_, Infallible>(response)
         }
     });
     let socket = TimedSocket::new(socket, Arc::clone(&clock));
     let connection = http1::Builder::new()
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
-    let look = Duration::from_millis((limits.header_timeout_ms / LOOKS_PER_TIMEOUT).max(1));
+    let check_interval =
+        Duration::from_millis((limits.header_timeout_ms / CHECKS_PER_HEADER_TIMEOUT).max(1));
     let mut stopping = *stop.borrow();
     if stopping {
         connection.as_mut().graceful_shutdown();
@@ -174,8 +175,8 @@
                 stopping = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = sleep(look) => {
-                if clock.is_head_late(limits.header_timeout_ms) {
+            () = sleep(check_interval) => {
+                if clock.is_header_overdue(limits.header_timeout_ms) {
                     return;
                 }
                 if clock.is_idle_for(limits.idle_timeout_ms) {
@@ -186,7 +187,7 @@
     }
 }
 
-async fn answer(
+async fn read_and_handle(
     request: Request<Incoming>,
     handler: Arc<dyn HttpHandler>,
     limits: HttpLimits,
@@ -197,16 +198,16 @@
     let body = match timeout(Duration::from_millis(limits.idle_timeout_ms), read).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return closing(StatusCode::PAYLOAD_TOO_LARGE);
+            return close_with_status(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        Ok(Err(_)) => return closing(StatusCode::BAD_REQUEST),
-        Err(_) => return closing(StatusCode::REQUEST_TIMEOUT),
+        Ok(Err(_)) => return close_with_status(StatusCode::BAD_REQUEST),
+        Err(_) => return close_with_status(StatusCode::REQUEST_TIMEOUT),
     };
-    let named = parts.headers.get(http::header::HOST);
-    let host = named
+    let host_header = parts.headers.get(http::header::HOST);
+    let host = host_header
         .and_then(|host| host.to_str().ok())
         .unwrap_or_default();
-    let call = HttpRequest {
+    let request = HttpRequest {
         host: host.split(':').next().unwrap_or_default().to_owned(),
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or_default().to_owned(),
@@ -214,11 +215,11 @@
         headers: parts.headers,
         body,
     };
-    handler.handle(call).await.into_response()
+    handler.handle(request).await.into_response()
 }
 
 /// An answer after which the connection ends, since the rest of the call's body is not read.
-fn closing(status: StatusCode) -> Response<Full<Bytes>> {
+fn close_with_status(status: StatusCode) -> Response<Full<Bytes>> {
     HttpResponse::empty(status)
         .with_header(http::header::CONNECTION, "close")
         .into_response()
--- a/src/adapters/http/known_job.rs
+++ b/src/adapters/http/known_job.rs
@@ -19,21 +19,21 @@
 /// resubmission meets an entry that refuses it, because the service has left the configuration
 /// meanwhile or the entry has just started. The client would send the job anew under another
 /// identity. So what carries an identity is refused only when its home has not seen it.
-pub(super) async fn unless_known(
+pub(super) async fn replace_if_known(
     api: &EntryApi,
     request: &Request,
     result: Result<Response, Refusal>,
 ) -> Result<Response, Refusal> {
     match result {
         Err(refusal) if matches!(refusal.verdict, Verdict::NotRun { .. }) => {
-            earlier_answer(api, request).await.ok_or(refusal)
+            previous_response(api, request).await.ok_or(refusal)
         }
         result => result,
     }
 }
 
-async fn earlier_answer(api: &EntryApi, request: &Request) -> Option<Response> {
-    let ticket = match earlier_ticket(api, request).await {
+async fn previous_response(api: &EntryApi, request: &Request) -> Option<Response> {
+    let ticket = match previous_ticket(api, request).await {
         Ok(ticket) => ticket?,
         Err(verdict) => {
             let message = String::new();
@@ -46,7 +46,7 @@
     }
 }
 
-async fn earlier_ticket(api: &EntryApi, request: &Request) -> Result<Option<Ticket>, Verdict> {
+async fn previous_ticket(api: &EntryApi, request: &Request) -> Result<Option<Ticket>, Verdict> {
     if let Some(text) = request.header(TICKET_HEADER) {
         return Ok(text.parse().ok());
     }
--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -20,26 +20,26 @@
 };
 
 /// Versions that a history shows if none are asked for.
-const HISTORY_LAST: u64 = 100;
+const DEFAULT_HISTORY_VERSIONS: u64 = 100;
 /// When to come back after a change was refused for want of the platform or of a turn, in seconds.
 const RETRY_AFTER_S: u64 = 2;
 
 /// `GET /v1/config`, `GET /v1/config?version=N`
 #[handler]
 pub(crate) async fn show(api: Api<'_>, Query(query): Query<ShowQuery>) -> Response {
-    let held = match query.version {
+    let config = match query.version {
         None => api.state.in_force(),
-        Some(version) => match api.keeper.at_version(version).await {
-            Ok(Some(held)) => Some(held),
-            Ok(None) => return failure(&ApplyError::UnknownBase(version)),
-            Err(error) => return failure(&ApplyError::Unavailable(error)),
+        Some(version) => match api.config.at_version(version).await {
+            Ok(Some(config)) => Some(config),
+            Ok(None) => return apply_error_response(&ApplyError::UnknownBase(version)),
+            Err(error) => return apply_error_response(&ApplyError::Unavailable(error)),
         },
     };
-    match held {
-        Some(held) => Json(json!({
-            "version": held.head.version,
-            "sections": held.head.sections,
-            "text": &*held.text,
+    match config {
+        Some(config) => Json(json!({
+            "version": config.head.version,
+            "sections": config.head.sections,
+            "text": &*config.text,
         }))
         .into_response(),
         None => Json(json!({ "version": 0, "sections": {}, "text": "" })).into_response(),
@@ -49,38 +49,38 @@
 /// `POST /v1/config`
 #[handler]
 pub(crate) async fn apply(api: Api<'_>, request: &Request, body: Json<ChangeBody>) -> Response {
-    let Some(operator) = operator(&api, request) else {
-        return failure(&ApplyError::Unauthorized);
+    let Some(operator) = authenticate(&api, request) else {
+        return apply_error_response(&ApplyError::Unauthorized);
     };
-    let change = match change(body.0) {
+    let change = match parse_change(body.0) {
         Ok(change) => change,
-        Err(detail) => return message(StatusCode::BAD_REQUEST, &detail),
+        Err(detail) => return error_response(StatusCode::BAD_REQUEST, &detail),
     };
-    answer(api.keeper.apply(operator, &change).await)
+    change_response(api.config.apply(operator, &change).await)
 }
 
 /// `POST /v1/config/diff`: what the change would do now; without a token for any section.
 #[handler]
 pub(crate) async fn diff(api: Api<'_>, request: &Request, body: Json<ChangeBody>) -> Response {
-    let owned = match (operator(&api, request), request.header("authorization")) {
+    let sections = match (authenticate(&api, request), request.header("authorization")) {
         (Some(operator), _) => operator.sections.clone(),
-        (None, Some(_)) => return failure(&ApplyError::Unauthorized),
+        (None, Some(_)) => return apply_error_response(&ApplyError::Unauthorized),
         (None, None) => SECTIONS.into_iter().map(str::to_owned).collect(),
     };
-    let change = match change(body.0) {
+    let change = match parse_change(body.0) {
         Ok(change) => change,
-        Err(detail) => return message(StatusCode::BAD_REQUEST, &detail),
+        Err(detail) => return error_response(StatusCode::BAD_REQUEST, &detail),
     };
-    answer(api.keeper.preview(&owned, &change).await)
+    change_response(api.config.preview(&sections, &change).await)
 }
 
 /// `GET /v1/config/history`, `GET /v1/config/history?last=N`
 #[handler]
 pub(crate) async fn history(api: Api<'_>, Query(query): Query<HistoryQuery>) -> Response {
-    let last = query.last.unwrap_or(HISTORY_LAST);
-    match api.keeper.history(last).await {
+    let last = query.last.unwrap_or(DEFAULT_HISTORY_VERSIONS);
+    match api.config.history(last).await {
         Ok(heads) => Json(heads).into_response(),
-        Err(error) => failure(&ApplyError::Unavailable(error)),
+        Err(error) => apply_error_response(&ApplyError::Unavailable(error)),
     }
 }
 
@@ -92,19 +92,19 @@
     Path((zone, state)): Path<(String, String)>,
     Query(query): Query<ZoneQuery>,
 ) -> Response {
-    let Some(operator) = operator(&api, request) else {
-        return failure(&ApplyError::Unauthorized);
+    let Some(operator) = authenticate(&api, request) else {
+        return apply_error_response(&ApplyError::Unauthorized);
     };
     let state = match state.as_str() {
         "out" => ZoneState::Out,
         "in" => ZoneState::Open,
-        _ => return message(StatusCode::NOT_FOUND, "the last part is out or in"),
+        _ => return error_response(StatusCode::NOT_FOUND, "the last part is out or in"),
     };
     let change = Change {
         edit: Edit::Zone { zone, state },
         close_last_zone: query.last,
     };
-    answer(api.keeper.apply(operator, &change).await)
+    change_response(api.config.apply(operator, &change).await)
 }
 
 /// `GET /v1/workers`
@@ -130,12 +130,12 @@
     Json(workers).into_response()
 }
 
-fn operator<'a>(api: &'a Arc<EntryApi>, request: &Request) -> Option<&'a OperatorSettings> {
+fn authenticate<'a>(api: &'a Arc<EntryApi>, request: &Request) -> Option<&'a OperatorSettings> {
     let token = request.header("authorization")?.strip_prefix("Bearer ")?;
-    api.keeper.operator(token)
+    api.config.operator(token)
 }
 
-fn change(body: ChangeBody) -> Result<Change, String> {
+fn parse_change(body: ChangeBody) -> Result<Change, String> {
     let based_on = BasedOnBody::sections(body.based_on, &body.text)?;
     Ok(Change {
         edit: Edit::Document {
@@ -146,25 +146,25 @@
     })
 }
 
-fn answer(result: Result<AppliedChange, ApplyError>) -> Response {
+fn change_response(result: Result<AppliedChange, ApplyError>) -> Response {
     match result {
-        Ok(accepted) => Json(json!({
-            "version": accepted.head.version,
-            "sections": accepted.sections,
-            "differences": accepted.differences,
+        Ok(applied) => Json(json!({
+            "version": applied.head.version,
+            "sections": applied.sections,
+            "differences": applied.differences,
         }))
         .into_response(),
-        Err(error) => failure(&error),
+        Err(error) => apply_error_response(&error),
     }
 }
 
-fn message(status: StatusCode, text: &str) -> Response {
+fn error_response(status: StatusCode, text: &str) -> Response {
     Json(json!({ "error": text }))
         .with_status(status)
         .into_response()
 }
 
-fn failure(error: &ApplyError) -> Response {
+fn apply_error_response(error: &ApplyError) -> Response {
     let detail = match error {
         ApplyError::Invalid(faults) => json!(faults),
         ApplyError::Conflict(version, conflicts) => {
--- a/src/adapters/http/response.rs
+++ b/src/adapters/http/response.rs
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug, Default, Serialize)]
-struct AnswerJson<'a> {
+struct ResponseJson<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     ticket: Option<String>,
     verdict: &'static str,
@@ -90,17 +90,17 @@
 
     /// The answer to the client.
     pub(crate) fn response(&self) -> Response {
-        refusal(self.verdict, &self.message)
+        refusal_response(self.verdict, &self.message)
     }
 }
 
-fn refusal(verdict: Verdict, message: &str) -> Response {
-    let json = AnswerJson {
+fn refusal_response(verdict: Verdict, message: &str) -> Response {
+    let json = ResponseJson {
         verdict: verdict.as_str(),
         reason: verdict.reason(),
         retry_after_ms: verdict.retry_after_ms(),
         message: Some(message).filter(|message| !message.is_empty()),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     respond(verdict, &json)
 }
@@ -112,12 +112,12 @@
         JobReport::Running { ended, total } => running(ticket, *ended, *total),
         JobReport::Unknown => unknown(ticket),
         JobReport::Verdict(verdict) => {
-            let json = AnswerJson {
+            let json = ResponseJson {
                 ticket: Some(ticket.to_string()),
                 verdict: verdict.as_str(),
                 reason: verdict.reason(),
                 retry_after_ms: verdict.retry_after_ms(),
-                ..AnswerJson::default()
+                ..ResponseJson::default()
             };
             respond(*verdict, &json)
         }
@@ -138,7 +138,7 @@
 }
 
 fn ended(ticket: Ticket, answer: &JobAnswer) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: answer.verdict.as_str(),
         reason: answer.verdict.reason(),
@@ -146,7 +146,7 @@
         task_count: Some(answer.outcomes.len()),
         digest: Some(blake3::Hash::from_bytes(answer.digest).to_hex().to_string()),
         tasks: answer.outcomes.iter().map(task_json).collect(),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     respond(answer.verdict, &json)
 }
@@ -177,12 +177,12 @@
 }
 
 fn running(ticket: Ticket, ended: u16, total: u16) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: "running",
         task_count: Some(usize::from(total)),
         ended: Some(ended),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     Response::builder()
         .status(StatusCode::ACCEPTED)
@@ -192,11 +192,11 @@
 }
 
 fn unknown(ticket: Ticket) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: "not-run",
         reason: "not_submitted",
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     Response::builder()
         .status(StatusCode::NOT_FOUND)
@@ -206,13 +206,13 @@
         .body(body(&json))
 }
 
-fn body(json: &AnswerJson<'_>) -> String {
+fn body(json: &ResponseJson<'_>) -> String {
     let mut text = serde_json::to_string(json).unwrap_or_default();
     text.push('\n');
     text
 }
 
-fn respond(verdict: Verdict, json: &AnswerJson<'_>) -> Response {
+fn respond(verdict: Verdict, json: &ResponseJson<'_>) -> Response {
     let mut response = Response::builder()
         .status(status_of(verdict))
         .header(VERDICT_HEADER, verdict.as_str())
--- a/src/adapters/http/tests.rs
+++ b/src/adapters/http/tests.rs
@@ -9,7 +9,7 @@
 const API_PAGE: &str = include_str!("../../../docs/API.md");
 
 /// Statuses by reason, from the page's table under this heading.
-fn promised(heading: &str) -> BTreeMap<&'static str, u16> {
+fn documented(heading: &str) -> BTreeMap<&'static str, u16> {
     let (_, table) = API_PAGE.split_once(heading).expect("heading");
     let rows = table
         .lines()
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn the_page_names_every_reason_of_not_run_with_its_status() {
-    let mut promised = promised("| status | reasons of `not-run` |");
-    assert_eq!(promised.remove("not_submitted"), Some(404));
-    let answered: BTreeMap<&str, u16> = NotRunReason::ALL
+fn api_page_lists_every_not_run_reason_with_its_status() {
+    let mut documented = documented("| status | reasons of `not-run` |");
+    assert_eq!(documented.remove("not_submitted"), Some(404));
+    let returned: BTreeMap<&str, u16> = NotRunReason::ALL
         .iter()
         .map(|reason| {
             (
@@ -43,17 +43,20 @@
             )
         })
         .collect();
-    assert_eq!(answered, promised);
+    assert_eq!(returned, documented);
 }
 
 #[test]
-fn the_page_names_every_reason_of_may_have_run_with_its_status() {
-    let answered: BTreeMap<&str, u16> = MayHaveRunReason::ALL
+fn api_page_lists_every_may_have_run_reason_with_its_status() {
+    let returned: BTreeMap<&str, u16> = MayHaveRunReason::ALL
         .iter()
         .map(|reason| {
             let verdict = Verdict::may_have_run(*reason);
             (reason.as_str(), status_of(verdict).as_u16())
         })
         .collect();
-    assert_eq!(answered, promised("| status | reasons of `may-have-run` |"));
+    assert_eq!(
+        returned,
+        documented("| status | reasons of `may-have-run` |")
+    );
 }
--- a/src/adapters/http/timed_socket.rs
+++ b/src/adapters/http/timed_socket.rs
@@ -9,28 +9,28 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct Times {
+struct ConnectionState {
     /// Bytes that came after the last answer; they are the head of a call, or its beginning.
-    head_since: Option<Instant>,
+    header_started_at: Option<Instant>,
     /// The newest byte or answer.
-    used_at: Instant,
+    last_activity_at: Instant,
     /// Calls that are being answered.
-    calls: usize,
+    active_requests: usize,
 }
 
 /// Clock of one connection, shared by its socket and its calls.
 #[derive(Debug)]
 pub(super) struct ConnectionClock {
-    times: Mutex<Times>,
+    state: Mutex<ConnectionState>,
 }
 
 impl Default for ConnectionClock {
     fn default() -> Self {
         Self {
-            times: Mutex::new(Times {
-                head_since: None,
-                used_at: Instant::now(),
-                calls: 0,
+            state: Mutex::new(ConnectionState {
+                header_started_at: None,
+                last_activity_at: Instant::now(),
+                active_requests: 0,
             }),
         }
     }
@@ -38,61 +38,63 @@
 
 /// A call that is being answered.
 #[derive(Debug)]
-pub(super) struct CallGuard(Arc<ConnectionClock>);
+pub(super) struct RequestGuard(Arc<ConnectionClock>);
 
-impl Drop for CallGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.change(|times| {
-            times.calls -= 1;
-            times.used_at = Instant::now();
+        self.0.update(|state| {
+            state.active_requests -= 1;
+            state.last_activity_at = Instant::now();
         });
     }
 }
 
 impl ConnectionClock {
-    fn change(&self, change: impl FnOnce(&mut Times)) {
-        change(&mut self.times.lock().unwrap_or_else(PoisonError::into_inner));
+    fn update(&self, update: impl FnOnce(&mut ConnectionState)) {
+        update(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    fn times(&self) -> Times {
-        *self.times.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> ConnectionState {
+        *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a call's head has been read.
-    pub(super) fn call(self: &Arc<Self>) -> CallGuard {
-        self.change(|times| {
-            times.calls += 1;
-            times.head_since = None;
+    pub(super) fn start_request(self: &Arc<Self>) -> RequestGuard {
+        self.update(|state| {
+            state.active_requests += 1;
+            state.header_started_at = None;
         });
-        CallGuard(Arc::clone(self))
+        RequestGuard(Arc::clone(self))
     }
 
-    fn note_bytes(&self) {
-        self.change(|times| {
+    fn record_read(&self) {
+        self.update(|state| {
             let now = Instant::now();
-            times.used_at = now;
-            if times.calls == 0 && times.head_since.is_none() {
-                times.head_since = Some(now);
+            state.last_activity_at = now;
+            if state.active_requests == 0 && state.header_started_at.is_none() {
+                state.header_started_at = Some(now);
             }
         });
     }
 
     /// Whether a call's head has begun so long ago and is not there in full.
-    pub(super) fn is_head_late(&self, after_ms: u64) -> bool {
-        let since = self.times().head_since;
-        since.is_some_and(|since| since.elapsed().as_millis() >= u128::from(after_ms))
+    pub(super) fn is_header_overdue(&self, timeout_ms: u64) -> bool {
+        let started_at = self.state().header_started_at;
+        started_at
+            .is_some_and(|started_at| started_at.elapsed().as_millis() >= u128::from(timeout_ms))
     }
 
     /// Whether nothing has come or gone for so long.
-    pub(super) fn is_idle_for(&self, after_ms: u64) -> bool {
-        let times = self.times();
-        times.calls == 0 && times.used_at.elapsed().as_millis() >= u128::from(after_ms)
+    pub(super) fn is_idle_for(&self, timeout_ms: u64) -> bool {
+        let state = self.state();
+        state.active_requests == 0
+            && state.last_activity_at.elapsed().as_millis() >= u128::from(timeout_ms)
     }
 }
 
 impl SocketObserver for Arc<ConnectionClock> {
     fn on_read(&self, _bytes: usize) {
-        self.note_bytes();
+        self.record_read();
     }
 }
 
--- a/src/adapters/link/frame_link.rs
+++ b/src/adapters/link/frame_link.rs
@@ -3,7 +3,7 @@
 use {
     super::FrameDuplex,
     crate::{
-        adapters::peer::{SessionEnds, counted, run_session},
+        adapters::peer::{SessionChannels, run_session, with_byte_counter},
         ports::{Metrics, PeerError},
     },
     bytes::Bytes,
@@ -31,9 +31,9 @@
 /// Most bytes under way on a session: a burst of starts with specs of 4 KB each.
 const WINDOW_BYTES: u32 = 1 << 20;
 /// Frames held for a slow reader.
-const BUFFER_FRAMES: usize = 256;
+const MAX_BUFFERED_FRAMES: usize = 256;
 /// Pause after an accept that failed, in milliseconds.
-const ACCEPT_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
 
 fn unreachable(error: impl ToString) -> PeerError {
     PeerError::Unreachable(error.to_string())
@@ -73,24 +73,24 @@
     let (mut sender, connection) = h2::client::Builder::new()
         .initial_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
-        .handshake(counted(socket, metrics))
+        .handshake(with_byte_counter(socket, metrics))
         .await
         .map_err(unreachable)?;
     let request = Request::post(format!("http://{to}{LINK_PATH}"))
         .body(())
         .map_err(unreachable)?;
     let (response, body) = sender.send_request(request, false).map_err(unreachable)?;
-    let (duplex, ends) = duplex();
-    let (answered, open) = tokio::sync::oneshot::channel();
+    let (duplex, channels) = duplex();
+    let (opened, open) = tokio::sync::oneshot::channel();
     let session = async move {
         match response.await {
             Ok(response) => {
                 // The caller may have given up waiting; the session then ends with its sender.
-                let _ = answered.send(Ok(()));
-                pump(response.into_body(), body, ends).await;
+                let _ = opened.send(Ok(()));
+                pump(response.into_body(), body, channels).await;
             }
             Err(error) => {
-                let _ = answered.send(Err(error));
+                let _ = opened.send(Err(error));
             }
         }
     };
@@ -122,7 +122,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "accepting a session failed");
-                sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+                sleep(Duration::from_millis(ACCEPT_RETRY_INTERVAL_MS)).await;
             }
         }
     }
@@ -154,49 +154,52 @@
     let handshake = h2::server::Builder::new()
         .initial_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
-        .handshake::<_, Bytes>(counted(socket, metrics));
-    let taking = async {
+        .handshake::<_, Bytes>(with_byte_counter(socket, metrics));
+    let accepting = async {
         let mut connection = handshake.await.map_err(unreachable)?;
         let stream = connection.accept().await;
         let stream = stream.ok_or_else(|| unreachable("closed"))?;
         Ok((connection, stream.map_err(unreachable)?))
     };
     let (mut connection, (request, mut respond)) =
-        timeout(Duration::from_millis(OPEN_TIMEOUT_MS), taking)
+        timeout(Duration::from_millis(OPEN_TIMEOUT_MS), accepting)
             .await
             .map_err(|_| unreachable("timed out"))??;
     let body = respond
         .send_response(Response::new(()), false)
         .map_err(unreachable)?;
-    let (duplex, ends) = duplex();
+    let (duplex, channels) = duplex();
     if opened.send(duplex).is_err() {
         return Ok(());
     }
     tokio::select! {
         // No second stream is taken; this drives the connection until it closes.
         _ = connection.accept() => {}
-        () = pump(request.into_body(), body, ends) => {}
+        () = pump(request.into_body(), body, channels) => {}
     }
     Ok(())
 }
 
-fn duplex<In, Out>() -> (FrameDuplex<In, Out>, SessionEnds<In, Out>) {
+fn duplex<In, Out>() -> (FrameDuplex<In, Out>, SessionChannels<In, Out>) {
     let (outgoing, frames) = mpsc::unbounded_channel();
-    let (received, incoming) = mpsc::channel(BUFFER_FRAMES);
-    let ends = SessionEnds {
+    let (received, incoming) = mpsc::channel(MAX_BUFFERED_FRAMES);
+    let channels = SessionChannels {
         outgoing: frames,
         received,
     };
-    (FrameDuplex { incoming, outgoing }, ends)
+    (FrameDuplex { incoming, outgoing }, channels)
 }
 
 /// Moves frames both ways until either side ends.
-async fn pump<In, Out>(stream: RecvStream, body: SendStream<Bytes>, ends: SessionEnds<In, Out>)
-where
+async fn pump<In, Out>(
+    stream: RecvStream,
+    body: SendStream<Bytes>,
+    channels: SessionChannels<In, Out>,
+) where
     In: DeserializeOwned,
     Out: Serialize,
 {
-    if let Err(error) = run_session(stream, body, ends).await {
+    if let Err(error) = run_session(stream, body, channels).await {
         log::debug!(error:% = error; "a session broke");
     }
 }
--- a/src/adapters/link/tests.rs
+++ b/src/adapters/link/tests.rs
@@ -11,7 +11,7 @@
 /// sends the next one after a second, and half the site's workers stood idle meanwhile. Here a full queue
 /// of new connections loses the packet; the attempt ends by itself, to be followed by another.
 #[tokio::test]
-async fn a_lost_opening_packet_is_not_waited_for() {
+async fn a_dial_fails_fast_when_its_syn_is_lost() {
     let socket = TcpSocket::new_v4().expect("socket");
     socket
         .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -22,8 +22,8 @@
     let first = TcpStream::connect(entry).await.expect("connect");
     let second = TcpStream::connect(entry).await.expect("connect");
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
-    let dialled: Result<FrameDuplex<u32, u32>, PeerError> = dial_link(entry, metrics).await;
-    let error = dialled.expect_err("nobody accepts").to_string();
+    let result: Result<FrameDuplex<u32, u32>, PeerError> = dial_link(entry, metrics).await;
+    let error = result.expect_err("nobody accepts").to_string();
     assert!(error.contains("no answer to the opening packet"), "{error}");
     drop((first, second));
 }
--- a/src/adapters/logging/decision_writer.rs
+++ b/src/adapters/logging/decision_writer.rs
@@ -16,7 +16,7 @@
 };
 
 /// Lines that wait for a slow reader; some 300 KB.
-const WAITING_LINES: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 
 /// Takes lines and hands them to a thread that writes them.
 ///
@@ -33,10 +33,10 @@
 impl DecisionWriter {
     /// Starts the thread; lines name this process.
     pub(crate) fn start(process: &str) -> io::Result<Self> {
-        let (lines, waiting) = sync_channel(WAITING_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         thread::Builder::new()
             .name("decisions".to_owned())
-            .spawn(move || write_lines(&waiting))?;
+            .spawn(move || write_lines(&queue))?;
         Ok(Self {
             process: process.to_owned(),
             lines,
@@ -45,7 +45,7 @@
         })
     }
 
-    fn line(&self, fields: Value) -> String {
+    fn format_line(&self, fields: Value) -> String {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -70,29 +70,29 @@
 }
 
 impl DecisionLog for DecisionWriter {
-    fn write(&self, rank: LogPriority, fields: Value) {
+    fn write(&self, priority: LogPriority, fields: Value) {
         let now_ms = self.started_at.elapsed().as_millis() as u64;
         let event = event_name(&fields);
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(dropped) = budget.dropped_to_tell(now_ms) {
-            let told = self.line(json!({"event": "lines_dropped", "by_event": dropped}));
-            if self.lines.try_send(told).is_err() {
-                budget.drop_line("lines_dropped");
+        if let Some(dropped) = budget.drain_dropped(now_ms) {
+            let notice = self.format_line(json!({"event": "lines_dropped", "by_event": dropped}));
+            if self.lines.try_send(notice).is_err() {
+                budget.record_dropped("lines_dropped");
             }
         }
-        let line = self.line(fields);
-        let fits = budget.take(now_ms, rank, line.len());
+        let line = self.format_line(fields);
+        let fits = budget.try_consume(now_ms, priority, line.len());
         if !fits || self.lines.try_send(line).is_err() {
-            budget.drop_line(&event);
+            budget.record_dropped(&event);
         }
     }
 }
 
 /// Writes what waits, in one call for all that is there.
-fn write_lines(waiting: &Receiver<String>) {
+fn write_lines(queue: &Receiver<String>) {
     let mut output = io::stdout().lock();
-    while let Ok(mut text) = waiting.recv() {
-        while let Ok(line) = waiting.try_recv() {
+    while let Ok(mut text) = queue.recv() {
+        while let Ok(line) = queue.try_recv() {
             text.push_str(&line);
         }
         // Without a reader there is nobody to tell; the lines are lost.
--- a/src/adapters/logging/line_budget.rs
+++ b/src/adapters/logging/line_budget.rs
@@ -7,45 +7,45 @@
 /// Bytes that may come at once.
 const BURST_BYTES: u64 = 256 * 1_024;
 /// Share of the burst that is kept for notable lines.
-const KEPT_FOR_NOTABLE: u64 = BURST_BYTES / 2;
+const NOTABLE_RESERVE_BYTES: u64 = BURST_BYTES / 2;
 /// Pause between lines that tell what was dropped, in milliseconds.
-const TELL_PERIOD_MS: u64 = 1_000;
+const DROP_REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// A bucket of bytes; routine lines are dropped first.
 #[derive(Debug)]
 pub(super) struct LineBudget {
     bytes: u64,
-    filled_at_ms: u64,
+    refilled_at_ms: u64,
     dropped: BTreeMap<String, u64>,
-    told_at_ms: u64,
+    reported_at_ms: u64,
 }
 
 impl Default for LineBudget {
     fn default() -> Self {
         Self {
             bytes: BURST_BYTES,
-            filled_at_ms: 0,
+            refilled_at_ms: 0,
             dropped: BTreeMap::new(),
-            told_at_ms: 0,
+            reported_at_ms: 0,
         }
     }
 }
 
 impl LineBudget {
     /// Takes a line's bytes out of the bucket, if they are there for its rank.
-    pub(super) fn take(&mut self, now_ms: u64, rank: LogPriority, bytes: usize) -> bool {
-        let elapsed_ms = now_ms.saturating_sub(self.filled_at_ms);
-        let filled = elapsed_ms * BYTES_PER_S / 1_000;
-        if filled > 0 {
-            self.bytes = (self.bytes + filled).min(BURST_BYTES);
-            self.filled_at_ms = now_ms;
+    pub(super) fn try_consume(&mut self, now_ms: u64, priority: LogPriority, bytes: usize) -> bool {
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        let refill = elapsed_ms * BYTES_PER_S / 1_000;
+        if refill > 0 {
+            self.bytes = (self.bytes + refill).min(BURST_BYTES);
+            self.refilled_at_ms = now_ms;
         }
-        let kept = match rank {
-            LogPriority::Routine => KEPT_FOR_NOTABLE,
+        let reserved = match priority {
+            LogPriority::Routine => NOTABLE_RESERVE_BYTES,
             LogPriority::Notable => 0,
         };
         let bytes = bytes as u64;
-        if self.bytes < kept + bytes {
+        if self.bytes < reserved + bytes {
             return false;
         }
         self.bytes -= bytes;
@@ -53,16 +53,18 @@
     }
 
     /// Counts a line that was dropped.
-    pub(super) fn drop_line(&mut self, event: &str) {
+    pub(super) fn record_dropped(&mut self, event: &str) {
         *self.dropped.entry(event.to_owned()).or_default() += 1;
     }
 
     /// What was dropped since this was last told, now and then.
-    pub(super) fn dropped_to_tell(&mut self, now_ms: u64) -> Option<BTreeMap<String, u64>> {
-        if self.dropped.is_empty() || now_ms.saturating_sub(self.told_at_ms) < TELL_PERIOD_MS {
+    pub(super) fn drain_dropped(&mut self, now_ms: u64) -> Option<BTreeMap<String, u64>> {
+        if self.dropped.is_empty()
+            || now_ms.saturating_sub(self.reported_at_ms) < DROP_REPORT_INTERVAL_MS
+        {
             return None;
         }
-        self.told_at_ms = now_ms;
+        self.reported_at_ms = now_ms;
         Some(std::mem::take(&mut self.dropped))
     }
 }
--- a/src/adapters/logging/tests.rs
+++ b/src/adapters/logging/tests.rs
@@ -7,26 +7,26 @@
 #[test]
 fn routine_lines_are_dropped_before_notable_ones() {
     let mut budget = LineBudget::default();
-    while budget.take(0, LogPriority::Routine, 400) {}
-    assert!(budget.take(0, LogPriority::Notable, 400));
+    while budget.try_consume(0, LogPriority::Routine, 400) {}
+    assert!(budget.try_consume(0, LogPriority::Notable, 400));
 }
 
 #[test]
-fn the_bucket_fills_again_with_time() {
+fn the_bucket_refills_over_time() {
     let mut budget = LineBudget::default();
-    while budget.take(0, LogPriority::Notable, 400) {}
-    assert!(!budget.take(1, LogPriority::Notable, 400));
-    assert!(budget.take(1_000, LogPriority::Notable, 400));
+    while budget.try_consume(0, LogPriority::Notable, 400) {}
+    assert!(!budget.try_consume(1, LogPriority::Notable, 400));
+    assert!(budget.try_consume(1_000, LogPriority::Notable, 400));
 }
 
 #[test]
-fn what_was_dropped_is_told_once_a_second() {
+fn dropped_lines_are_reported_once_a_second() {
     let mut budget = LineBudget::default();
-    budget.drop_line("job_taken");
-    budget.drop_line("job_taken");
-    let told = budget.dropped_to_tell(1_000).expect("told");
-    assert_eq!(told.get("job_taken"), Some(&2));
-    budget.drop_line("job_taken");
-    assert_eq!(budget.dropped_to_tell(1_500), None);
-    assert!(budget.dropped_to_tell(2_000).is_some());
+    budget.record_dropped("job_taken");
+    budget.record_dropped("job_taken");
+    let dropped = budget.drain_dropped(1_000).expect("told");
+    assert_eq!(dropped.get("job_taken"), Some(&2));
+    budget.record_dropped("job_taken");
+    assert_eq!(budget.drain_dropped(1_500), None);
+    assert!(budget.drain_dropped(2_000).is_some());
 }
--- a/src/adapters/peer/awaited_tasks.rs
+++ b/src/adapters/peer/awaited_tasks.rs
@@ -1,7 +1,7 @@
 //! The tasks of one session whose outcomes its home waits for.
 
 use {
-    super::activity::{Activity, AwaitedReply, OpenStream},
+    super::activity::{AwaitedReplyGuard, ConnectionActivity, OpenStreamGuard},
     crate::core::{
         job::TaskRef,
         message::{HomeFrame, RunnerFrame, TaskStatus},
@@ -13,13 +13,13 @@
 };
 
 #[derive(Debug)]
-struct Inner {
+struct SessionState {
     welcomed: bool,
     /// Slots asked for and not yet offered.
     demanded: u16,
     /// Started on this session (`None`), or asked after as started on that epoch.
     tasks: BTreeMap<TaskRef, Option<u64>>,
-    awaited: Option<AwaitedReply>,
+    awaited: Option<AwaitedReplyGuard>,
 }
 
 /// Follows a session's frames and tells its connection whether something is awaited on it.
@@ -30,15 +30,15 @@
 /// A session on which nothing is awaited costs no pings.
 #[derive(Debug)]
 pub(crate) struct AwaitedTasks {
-    activity: Arc<Activity>,
-    _stream: OpenStream,
-    inner: Mutex<Inner>,
+    activity: Arc<ConnectionActivity>,
+    _stream: OpenStreamGuard,
+    state: Mutex<SessionState>,
 }
 
 impl AwaitedTasks {
     /// A session whose hello is about to be sent.
-    pub(crate) fn new(activity: Arc<Activity>, stream: OpenStream) -> Self {
-        let inner = Inner {
+    pub(crate) fn new(activity: Arc<ConnectionActivity>, stream: OpenStreamGuard) -> Self {
+        let state = SessionState {
             welcomed: false,
             demanded: 0,
             tasks: BTreeMap::new(),
@@ -47,51 +47,51 @@
         Self {
             activity,
             _stream: stream,
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
         }
     }
 
     /// Follows a frame that is about to be sent.
-    pub(crate) fn sending(&self, frame: &HomeFrame) {
-        let mut inner = self.lock();
+    pub(crate) fn record_sent(&self, frame: &HomeFrame) {
+        let mut state = self.lock();
         match frame {
             HomeFrame::Start(start) => {
-                inner.tasks.insert(start.task, None);
+                state.tasks.insert(start.task, None);
             }
             HomeFrame::Query { tasks } => {
-                let asked = tasks.iter().map(|(task, epoch)| (*task, Some(*epoch)));
-                inner.tasks.extend(asked);
+                let queried = tasks.iter().map(|(task, epoch)| (*task, Some(*epoch)));
+                state.tasks.extend(queried);
             }
-            HomeFrame::Demand { tasks, .. } => inner.demanded = *tasks,
+            HomeFrame::Demand { tasks, .. } => state.demanded = *tasks,
             HomeFrame::Hello { .. } | HomeFrame::Cancel { .. } | HomeFrame::Ack { .. } => {}
         }
-        self.tell(&mut inner);
+        self.update_awaited(&mut state);
     }
 
     /// Follows a frame that has come.
-    pub(crate) fn received(&self, frame: &RunnerFrame) {
-        let mut inner = self.lock();
+    pub(crate) fn record_received(&self, frame: &RunnerFrame) {
+        let mut state = self.lock();
         match frame {
-            RunnerFrame::Welcome { .. } => inner.welcomed = true,
-            RunnerFrame::Offer { .. } => inner.demanded = inner.demanded.saturating_sub(1),
+            RunnerFrame::Welcome { .. } => state.welcomed = true,
+            RunnerFrame::Offer { .. } => state.demanded = state.demanded.saturating_sub(1),
             RunnerFrame::Outcome { task, .. } => {
-                inner.tasks.remove(task);
+                state.tasks.remove(task);
             }
             RunnerFrame::Statuses { tasks } => {
                 for report in tasks {
-                    let asked = inner.tasks.get(&report.task) == Some(&Some(report.epoch));
+                    let queried = state.tasks.get(&report.task) == Some(&Some(report.epoch));
                     // A task that was started anew since is awaited whatever became of the first.
-                    if asked && !matches!(report.status, TaskStatus::Running) {
-                        inner.tasks.remove(&report.task);
+                    if queried && !matches!(report.status, TaskStatus::Running) {
+                        state.tasks.remove(&report.task);
                     }
                 }
             }
         }
-        self.tell(&mut inner);
+        self.update_awaited(&mut state);
     }
 
     /// The use of the session's connection.
-    pub(crate) fn activity(&self) -> &Activity {
+    pub(crate) fn activity(&self) -> &ConnectionActivity {
         &self.activity
     }
 
@@ -100,16 +100,16 @@
         self.lock().awaited.is_none()
     }
 
-    fn tell(&self, inner: &mut Inner) {
-        let is_awaiting = !inner.welcomed || !inner.tasks.is_empty() || inner.demanded > 0;
-        if !is_awaiting {
-            inner.awaited = None;
-        } else if inner.awaited.is_none() {
-            inner.awaited = Some(self.activity.await_reply());
+    fn update_awaited(&self, state: &mut SessionState) {
+        let is_reply_awaited = !state.welcomed || !state.tasks.is_empty() || state.demanded > 0;
+        if !is_reply_awaited {
+            state.awaited = None;
+        } else if state.awaited.is_none() {
+            state.awaited = Some(self.activity.await_reply());
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SessionState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/adapters/peer/counted_socket.rs
+++ b/src/adapters/peer/counted_socket.rs
@@ -54,7 +54,7 @@
 }
 
 /// Counts what passes a connection between two of the system's processes.
-pub(crate) fn counted(socket: TcpStream, metrics: Arc<dyn Metrics>) -> CountedSocket {
+pub(crate) fn with_byte_counter(socket: TcpStream, metrics: Arc<dyn Metrics>) -> CountedSocket {
     let received = ReceivedBytes::default();
     ObservedSocket::new(socket, ByteCounter { metrics, received })
 }
--- a/src/adapters/peer/frame_pump.rs
+++ b/src/adapters/peer/frame_pump.rs
@@ -13,7 +13,7 @@
 
 /// The inner ends of a session's channels.
 #[derive(Debug)]
-pub(crate) struct SessionEnds<In, Out> {
+pub(crate) struct SessionChannels<In, Out> {
     /// Frames to send; the session ends with their last sender.
     pub(crate) outgoing: mpsc::UnboundedReceiver<Out>,
     /// Where received frames go; the session ends with their reader.
@@ -24,16 +24,16 @@
 pub(crate) async fn run_session<In, Out>(
     stream: RecvStream,
     mut body: SendStream<Bytes>,
-    ends: SessionEnds<In, Out>,
+    channels: SessionChannels<In, Out>,
 ) -> Result<(), StreamError>
 where
     In: DeserializeOwned,
     Out: Serialize,
 {
-    let SessionEnds {
+    let SessionChannels {
         mut outgoing,
         received,
-    } = ends;
+    } = channels;
     tokio::select! {
         () = receive_frames(stream, received) => Ok(()),
         result = send_frames(&mut body, &mut outgoing) => result,
--- a/src/adapters/peer/h2_client.rs
+++ b/src/adapters/peer/h2_client.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        activity::{Activity, OpenStream},
+        activity::{ConnectionActivity, OpenStreamGuard},
         awaited_tasks::AwaitedTasks,
         codec::{encode, encode_into},
-        counted_socket::counted,
+        counted_socket::with_byte_counter,
         frame_stream::{FrameReader, send_all},
-        liveness::until_silent,
+        liveness::until_unresponsive,
     },
     crate::{
         core::{
@@ -42,9 +42,9 @@
 /// Time to connect, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 500;
 /// Time after which an idle session ends and an unused connection closes, in milliseconds.
-const IDLE_CLOSE_MS: u64 = 10_000;
+const IDLE_TIMEOUT_MS: u64 = 10_000;
 /// Frames held for a slow reader of a session.
-const SESSION_BUFFER_FRAMES: usize = 1_024;
+const MAX_BUFFERED_FRAMES: usize = 1_024;
 
 type Slot = Arc<Mutex<Option<Connection>>>;
 
@@ -52,15 +52,15 @@
 #[derive(Debug, Clone)]
 struct Connection {
     sender: SendRequest<Bytes>,
-    activity: Arc<Activity>,
+    activity: Arc<ConnectionActivity>,
 }
 
 /// A stream just opened on a connection.
 struct Stream {
     response: h2::client::ResponseFuture,
     body: SendStream<Bytes>,
-    activity: Arc<Activity>,
-    open: OpenStream,
+    activity: Arc<ConnectionActivity>,
+    open: OpenStreamGuard,
 }
 
 /// Peers over h2.
@@ -68,26 +68,26 @@
 pub(crate) struct H2Client {
     connections: Mutex<BTreeMap<SocketAddr, Slot>>,
     metrics: Arc<dyn Metrics>,
-    idle_close: Duration,
+    idle_timeout: Duration,
 }
 
 impl H2Client {
     /// A client without connections.
     pub(crate) fn new(metrics: Arc<dyn Metrics>) -> Self {
-        Self::with_idle_close(metrics, Duration::from_millis(IDLE_CLOSE_MS))
+        Self::with_idle_timeout(metrics, Duration::from_millis(IDLE_TIMEOUT_MS))
     }
 
     /// A client that closes sessions and connections after being idle for `idle_close`.
-    pub(super) fn with_idle_close(metrics: Arc<dyn Metrics>, idle_close: Duration) -> Self {
+    pub(super) fn with_idle_timeout(metrics: Arc<dyn Metrics>, idle_timeout: Duration) -> Self {
         Self {
-            idle_close,
+            idle_timeout,
             connections: Mutex::new(BTreeMap::new()),
             metrics,
         }
     }
 
     /// The connection to an address, opened if there is none that works.
-    async fn connection(&self, to: SocketAddr) -> Result<(Connection, OpenStream), PeerError> {
+    async fn connection(&self, to: SocketAddr) -> Result<(Connection, OpenStreamGuard), PeerError> {
         let slot = Arc::clone(self.connections.lock().await.entry(to).or_default());
         let mut slot = slot.lock().await;
         if let Some(connection) = slot.clone()
@@ -119,7 +119,7 @@
             socket
                 .set_nodelay(true)
                 .map_err(|error| error.to_string())?;
-            let socket = counted(socket, Arc::clone(&self.metrics));
+            let socket = with_byte_counter(socket, Arc::clone(&self.metrics));
             let received = socket.observer().received();
             h2::client::Builder::new()
                 .initial_window_size(STREAM_WINDOW_BYTES)
@@ -136,7 +136,7 @@
                 .map_err(PeerError::Unreachable)?;
         let pings = connection.ping_pong();
         let metrics = Arc::clone(&self.metrics);
-        let activity = Arc::new(Activity::new(self.idle_close));
+        let activity = Arc::new(ConnectionActivity::new(self.idle_timeout));
         let watched = Arc::clone(&activity);
         tokio::spawn(async move {
             let Some(pings) = pings else {
@@ -145,8 +145,8 @@
             // Dropping the connection fails every stream on it.
             let cause = tokio::select! {
                 _ = connection => "closed",
-                cause = until_silent(pings, &watched, &received) => cause,
-                () = watched.until_unused() => "unused",
+                cause = until_unresponsive(pings, &watched, &received) => cause,
+                () = watched.until_idle() => "unused",
             };
             metrics.count(Counter::PeerLosses, cause);
         });
@@ -181,7 +181,7 @@
     }
 }
 
-fn lost(error: impl ToString) -> PeerError {
+fn outcome_unknown(error: impl ToString) -> PeerError {
     PeerError::OutcomeUnknown(error.to_string())
 }
 
@@ -191,10 +191,12 @@
         let body = encode(&request).map_err(|error| PeerError::Unreachable(error.to_string()))?;
         let mut stream = self.open_stream(to, CALL_PATH).await?;
         let _awaited = stream.activity.await_reply();
-        send_all(&mut stream.body, body, true).await.map_err(lost)?;
-        let response = stream.response.await.map_err(lost)?;
+        send_all(&mut stream.body, body, true)
+            .await
+            .map_err(outcome_unknown)?;
+        let response = stream.response.await.map_err(outcome_unknown)?;
         let mut reader = FrameReader::new(response.into_body());
-        reader.next().await.map_err(lost)
+        reader.next().await.map_err(outcome_unknown)
     }
 
     async fn open_session(
@@ -209,10 +211,10 @@
         let awaited = Arc::new(AwaitedTasks::new(stream.activity, stream.open));
         send_all(&mut stream.body, hello, false)
             .await
-            .map_err(lost)?;
-        let response = stream.response.await.map_err(lost)?;
+            .map_err(outcome_unknown)?;
+        let response = stream.response.await.map_err(outcome_unknown)?;
         let (outgoing, frames) = mpsc::unbounded_channel();
-        let (sender, incoming) = mpsc::channel(SESSION_BUFFER_FRAMES);
+        let (sender, incoming) = mpsc::channel(MAX_BUFFERED_FRAMES);
         tokio::spawn(write_frames(stream.body, frames, Arc::clone(&awaited)));
         tokio::spawn(read_frames(response.into_body(), sender, awaited));
         Ok(SessionIo { outgoing, incoming })
@@ -228,14 +230,14 @@
     awaited: Arc<AwaitedTasks>,
 ) {
     loop {
-        let mut next = match awaited.activity().before_idle(frames.recv()).await {
+        let mut next = match awaited.activity().within_idle_timeout(frames.recv()).await {
             Some(Some(frame)) => Some(frame),
             None if !awaited.is_empty() => continue,
             Some(None) | None => break,
         };
         let mut buffer = BytesMut::new();
         while let Some(frame) = next {
-            awaited.sending(&frame);
+            awaited.record_sent(&frame);
             if encode_into(&mut buffer, &frame).is_err() {
                 return;
             }
@@ -256,7 +258,7 @@
 ) {
     let mut reader = FrameReader::new(stream);
     while let Ok(frame) = reader.next().await {
-        awaited.received(&frame);
+        awaited.record_received(&frame);
         if frames.send(frame).await.is_err() {
             return;
         }
--- a/src/adapters/peer/h2_server.rs
+++ b/src/adapters/peer/h2_server.rs
@@ -3,13 +3,13 @@
 use {
     super::{
         codec::encode,
-        counted_socket::counted,
-        frame_pump::{SessionEnds, run_session},
+        counted_socket::with_byte_counter,
+        frame_pump::{SessionChannels, run_session},
         frame_stream::{FrameReader, StreamError, send_all},
         h2_client::{
             CALL_PATH, CONNECTION_WINDOW_BYTES, MAX_STREAMS, SESSION_PATH, STREAM_WINDOW_BYTES,
         },
-        liveness::until_abandoned,
+        liveness::until_caller_unresponsive,
     },
     crate::{
         core::message::{HomeFrame, PeerReply, PeerRequest, RunnerFrame},
@@ -39,14 +39,14 @@
 #[async_trait]
 pub(crate) trait PeerHandler: Debug + Send + Sync {
     /// Answers one call.
-    async fn call(&self, request: PeerRequest) -> PeerReply;
+    async fn handle_call(&self, request: PeerRequest) -> PeerReply;
 
     /// Takes a session; `false` if this process has no runner.
-    fn session(&self, session: RunnerSession) -> bool;
+    fn accept_session(&self, session: RunnerSession) -> bool;
 }
 
 /// Frames held for a slow reader of a session.
-const SESSION_BUFFER_FRAMES: usize = 1_024;
+const MAX_BUFFERED_FRAMES: usize = 1_024;
 
 /// Serves peers until the task is dropped.
 pub(crate) async fn serve_peers(
@@ -76,7 +76,7 @@
     if socket.set_nodelay(true).is_err() {
         return;
     }
-    let socket = counted(socket, metrics);
+    let socket = with_byte_counter(socket, metrics);
     let received = socket.observer().received();
     let handshake = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW_BYTES)
@@ -97,7 +97,7 @@
     };
     tokio::select! {
         () = accept => {}
-        _ = until_abandoned(pings, &received) => {}
+        _ = until_caller_unresponsive(pings, &received) => {}
     }
 }
 
@@ -129,7 +129,7 @@
     handler: Arc<dyn PeerHandler>,
 ) -> Result<(), StreamError> {
     let request: PeerRequest = FrameReader::new(body).next().await?;
-    let reply = handler.call(request).await;
+    let reply = handler.handle_call(request).await;
     let mut stream = respond.send_response(status(StatusCode::OK), false)?;
     send_all(&mut stream, encode(&reply)?, true).await
 }
@@ -139,16 +139,16 @@
     mut respond: SendResponse<Bytes>,
     handler: Arc<dyn PeerHandler>,
 ) -> Result<(), StreamError> {
-    let (received, incoming) = mpsc::channel(SESSION_BUFFER_FRAMES);
+    let (received, incoming) = mpsc::channel(MAX_BUFFERED_FRAMES);
     let (outgoing, frames) = mpsc::unbounded_channel();
-    if !handler.session(RunnerSession { incoming, outgoing }) {
+    if !handler.accept_session(RunnerSession { incoming, outgoing }) {
         respond.send_response(status(StatusCode::NOT_FOUND), true)?;
         return Ok(());
     }
     let stream = respond.send_response(status(StatusCode::OK), false)?;
-    let ends = SessionEnds {
+    let channels = SessionChannels {
         outgoing: frames,
         received,
     };
-    run_session(body, stream, ends).await
+    run_session(body, stream, channels).await
 }
--- a/src/adapters/peer/liveness.rs
+++ b/src/adapters/peer/liveness.rs
@@ -1,16 +1,16 @@
 //! Finds connections that went silent.
 
 use {
-    super::{activity::Activity, counted_socket::ReceivedBytes},
+    super::{activity::ConnectionActivity, counted_socket::ReceivedBytes},
     h2::{Ping, PingPong},
     std::{pin::pin, time::Duration},
     tokio::time::{sleep, timeout},
 };
 
 /// Pause between pings, in milliseconds.
-const PING_PERIOD_MS: u64 = 200;
+const PING_INTERVAL_MS: u64 = 200;
 /// Pause between pings of the side that waits for nothing, in milliseconds.
-const WATCH_PERIOD_MS: u64 = 30_000;
+const IDLE_PING_INTERVAL_MS: u64 = 30_000;
 /// Silence after a ping that ends the connection, in milliseconds.
 const PONG_TIMEOUT_MS: u64 = 500;
 
@@ -23,15 +23,15 @@
 ///
 /// Only what is awaited is watched closely: at the planned size a process has thousands of
 /// connections, and pings on idle ones alone would be many times the budget of control.
-pub(crate) async fn until_silent(
+pub(crate) async fn until_unresponsive(
     mut pings: PingPong,
-    activity: &Activity,
+    activity: &ConnectionActivity,
     received: &ReceivedBytes,
 ) -> &'static str {
     loop {
-        activity.awaiting().await;
-        sleep(Duration::from_millis(PING_PERIOD_MS)).await;
-        if !activity.is_awaiting() {
+        activity.until_reply_awaited().await;
+        sleep(Duration::from_millis(PING_INTERVAL_MS)).await;
+        if !activity.is_reply_awaited() {
             continue;
         }
         if let Some(cause) = ping(&mut pings, received).await {
@@ -43,9 +43,12 @@
 /// Pings now and then until the other side stays silent or the connection breaks.
 ///
 /// Guards against callers that vanish without closing: their connections would be kept for good.
-pub(crate) async fn until_abandoned(mut pings: PingPong, received: &ReceivedBytes) -> &'static str {
+pub(crate) async fn until_caller_unresponsive(
+    mut pings: PingPong,
+    received: &ReceivedBytes,
+) -> &'static str {
     loop {
-        sleep(Duration::from_millis(WATCH_PERIOD_MS)).await;
+        sleep(Duration::from_millis(IDLE_PING_INTERVAL_MS)).await;
         if let Some(cause) = ping(&mut pings, received).await {
             return cause;
         }
--- a/src/adapters/peer/mod.rs
+++ b/src/adapters/peer/mod.rs
@@ -14,8 +14,8 @@
 mod tests;
 
 pub(crate) use {
-    counted_socket::counted,
-    frame_pump::{SessionEnds, run_session},
+    counted_socket::with_byte_counter,
+    frame_pump::{SessionChannels, run_session},
     h2_client::H2Client,
     h2_server::{PeerHandler, RunnerSession, serve_peers},
 };
--- a/src/adapters/peer/tests.rs
+++ b/src/adapters/peer/tests.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        activity::Activity,
+        activity::ConnectionActivity,
         awaited_tasks::AwaitedTasks,
         h2_client::H2Client,
         h2_server::{PeerHandler, RunnerSession, serve_peers},
@@ -35,7 +35,7 @@
 };
 
 /// Generous: a loaded machine must not change a verdict.
-const LIMIT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn task(index: u16) -> TaskRef {
     let ticket = TicketId {
@@ -109,75 +109,75 @@
 
 enum Step {
     Sent(HomeFrame),
-    Came(RunnerFrame),
+    Received(RunnerFrame),
 }
 
-use Step::{Came, Sent};
+use Step::{Received, Sent};
 
 /// Each case: the frames of one session, and whether something is awaited after them.
 macro_rules! awaited_after {
     ($($name:ident: [$($step:expr),*] => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let activity = Arc::new(Activity::new(LIMIT));
+            let activity = Arc::new(ConnectionActivity::new(TEST_TIMEOUT));
             let stream = activity.open_stream().expect("open");
             let awaited = AwaitedTasks::new(Arc::clone(&activity), stream);
             let steps: Vec<Step> = vec![$($step),*];
             for step in &steps {
                 match step {
-                    Sent(frame) => awaited.sending(frame),
-                    Came(frame) => awaited.received(frame),
+                    Sent(frame) => awaited.record_sent(frame),
+                    Received(frame) => awaited.record_received(frame),
                 }
             }
             assert_eq!(!awaited.is_empty(), $expected);
-            assert_eq!(activity.is_awaiting(), $expected);
+            assert_eq!(activity.is_reply_awaited(), $expected);
             drop(awaited);
-            assert!(!activity.is_awaiting(), "a session that is gone awaits nothing");
+            assert!(!activity.is_reply_awaited(), "a session that is gone awaits nothing");
         }
     )*};
 }
 
 awaited_after! {
-    a_hello_awaits_its_welcome: [] => true;
-    a_welcomed_session_awaits_nothing: [Came(welcome())] => false;
-    a_start_awaits_its_outcome: [Came(welcome()), Sent(start(0))] => true;
-    an_outcome_ends_the_wait: [Came(welcome()), Sent(start(0)), Came(outcome(0))] => false;
-    another_tasks_outcome_does_not:
-        [Came(welcome()), Sent(start(0)), Sent(start(1)), Came(outcome(1))] => true;
-    an_outcome_told_twice_counts_once:
-        [Came(welcome()), Sent(start(0)), Sent(start(1)), Came(outcome(1)), Came(outcome(1))] => true;
-    a_demand_awaits_its_offers:
-        [Came(welcome()), Sent(demand(2)), Came(RunnerFrame::Offer { free: FREE })] => true;
+    a_hello_awaits_a_welcome: [] => true;
+    a_welcomed_session_awaits_nothing: [Received(welcome())] => false;
+    a_start_awaits_its_outcome: [Received(welcome()), Sent(start(0))] => true;
+    an_outcome_ends_the_wait: [Received(welcome()), Sent(start(0)), Received(outcome(0))] => false;
+    another_tasks_outcome_does_not_end_the_wait:
+        [Received(welcome()), Sent(start(0)), Sent(start(1)), Received(outcome(1))] => true;
+    a_duplicate_outcome_counts_once:
+        [Received(welcome()), Sent(start(0)), Sent(start(1)), Received(outcome(1)), Received(outcome(1))] => true;
+    a_demand_awaits_offers:
+        [Received(welcome()), Sent(demand(2)), Received(RunnerFrame::Offer { free: FREE })] => true;
     offers_end_the_wait:
-        [Came(welcome()), Sent(demand(1)), Came(RunnerFrame::Offer { free: FREE })] => false;
+        [Received(welcome()), Sent(demand(1)), Received(RunnerFrame::Offer { free: FREE })] => false;
     a_withdrawn_demand_awaits_nothing:
-        [Came(welcome()), Sent(demand(2)), Sent(demand(0))] => false;
-    a_queried_task_that_runs_is_awaited:
-        [Came(welcome()), Sent(query(0)), Came(statuses(0, TaskStatus::Running))] => true;
-    a_queried_task_that_ended_is_not:
-        [Came(welcome()), Sent(query(0)), Came(statuses(0, TaskStatus::Ended(done())))] => false;
-    a_task_that_never_started_is_not:
-        [Came(welcome()), Sent(query(0)), Came(statuses(0, TaskStatus::NeverStarted))] => false;
-    a_task_started_anew_is_awaited_whatever_became_of_its_first_start:
+        [Received(welcome()), Sent(demand(2)), Sent(demand(0))] => false;
+    a_queried_task_that_is_running_is_awaited:
+        [Received(welcome()), Sent(query(0)), Received(statuses(0, TaskStatus::Running))] => true;
+    a_queried_task_that_ended_is_not_awaited:
+        [Received(welcome()), Sent(query(0)), Received(statuses(0, TaskStatus::Ended(done())))] => false;
+    a_queried_task_that_never_started_is_not_awaited:
+        [Received(welcome()), Sent(query(0)), Received(statuses(0, TaskStatus::NeverStarted))] => false;
+    a_restarted_task_is_awaited_after_a_status_of_its_first_start:
         [
-            Came(welcome()), Sent(query(0)), Came(outcome(0)), Sent(start(0)),
-            Came(statuses(0, TaskStatus::NeverStarted))
+            Received(welcome()), Sent(query(0)), Received(outcome(0)), Sent(start(0)),
+            Received(statuses(0, TaskStatus::NeverStarted))
         ] => true;
 }
 
 /// A runner that welcomes its session and then never says anything.
 #[derive(Debug, Default)]
-struct MuteRunner {
+struct UnresponsiveRunner {
     sessions: Mutex<Vec<RunnerSession>>,
 }
 
 #[async_trait]
-impl PeerHandler for MuteRunner {
-    async fn call(&self, _request: PeerRequest) -> PeerReply {
+impl PeerHandler for UnresponsiveRunner {
+    async fn handle_call(&self, _request: PeerRequest) -> PeerReply {
         PeerReply::Unsupported
     }
 
-    fn session(&self, session: RunnerSession) -> bool {
+    fn accept_session(&self, session: RunnerSession) -> bool {
         let welcomed = session.outgoing.send(welcome()).is_ok();
         self.sessions.lock().expect("sessions").push(session);
         welcomed
@@ -185,34 +185,36 @@
 }
 
 /// A mute runner behind a relay that swallows everything, without closing, once told to.
-async fn runner_behind_relay(metrics: &Arc<OtelMetrics>) -> (SocketAddr, watch::Sender<bool>) {
+async fn unresponsive_runner_behind_relay(
+    metrics: &Arc<OtelMetrics>,
+) -> (SocketAddr, watch::Sender<bool>) {
     let runner = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let runner_addr = runner.local_addr().expect("address");
-    let handler = Arc::new(MuteRunner::default());
+    let handler = Arc::new(UnresponsiveRunner::default());
     tokio::spawn(serve_peers(runner, handler, metrics.clone()));
     let relay = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let relay_addr = relay.local_addr().expect("address");
-    let (swallow, swallowing) = watch::channel(false);
+    let (blackhole, blackholed) = watch::channel(false);
     tokio::spawn(async move {
         let (mut near, _) = relay.accept().await.expect("accept");
         let mut far = TcpStream::connect(runner_addr).await.expect("connect");
-        let mut told = swallowing.clone();
+        let mut blackholed = blackholed.clone();
         tokio::select! {
             _ = copy_bidirectional(&mut near, &mut far) => {}
-            _ = told.wait_for(|swallow| *swallow) => {}
+            _ = blackholed.wait_for(|blackhole| *blackhole) => {}
         }
         // Both sockets stay open and unread.
         std::future::pending::<()>().await;
     });
-    (relay_addr, swallow)
+    (relay_addr, blackhole)
 }
 
 /// A home has a task at a runner when a firewall forgets their connection: nothing is closed and
 /// nothing comes. The client would wait until its deadline; the pings end the session instead.
 #[tokio::test]
-async fn a_session_that_goes_silent_with_a_task_on_it_ends() {
+async fn an_unresponsive_session_with_a_running_task_ends() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
-    let (addr, swallow) = runner_behind_relay(&metrics).await;
+    let (addr, blackhole) = unresponsive_runner_behind_relay(&metrics).await;
     let client = H2Client::new(metrics);
     let mut session = client
         .open_session(addr, AgentId(1), 1)
@@ -220,8 +222,8 @@
         .expect("session");
     assert_eq!(session.incoming.recv().await, Some(welcome()));
     session.outgoing.send(start(0)).expect("send");
-    swallow.send(true).expect("relay");
-    let ended = timeout(LIMIT, session.incoming.recv()).await;
+    blackhole.send(true).expect("relay");
+    let ended = timeout(TEST_TIMEOUT, session.incoming.recv()).await;
     assert_eq!(ended, Ok(None), "the session ends");
 }
 
@@ -232,16 +234,16 @@
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let addr = listener.local_addr().expect("address");
-    let handler = Arc::new(MuteRunner::default());
+    let handler = Arc::new(UnresponsiveRunner::default());
     tokio::spawn(serve_peers(listener, handler, metrics.clone()));
-    let client = H2Client::with_idle_close(metrics, Duration::from_millis(50));
+    let client = H2Client::with_idle_timeout(metrics, Duration::from_millis(50));
     for epoch in 1..=2 {
         let mut session = client
             .open_session(addr, AgentId(1), epoch)
             .await
             .expect("session");
         assert_eq!(session.incoming.recv().await, Some(welcome()));
-        let ended = timeout(LIMIT, session.incoming.recv()).await;
+        let ended = timeout(TEST_TIMEOUT, session.incoming.recv()).await;
         assert_eq!(ended, Ok(None), "the idle session ends");
     }
 }
@@ -251,21 +253,21 @@
 
 /// A peer that answers with a large document, and takes sessions.
 #[derive(Debug, Default)]
-struct LargePeer(MuteRunner);
+struct LargeReplyPeer(UnresponsiveRunner);
 
 #[async_trait]
-impl PeerHandler for LargePeer {
-    async fn call(&self, _request: PeerRequest) -> PeerReply {
+impl PeerHandler for LargeReplyPeer {
+    async fn handle_call(&self, _request: PeerRequest) -> PeerReply {
         PeerReply::Configuration(Some((Head::default(), "x".repeat(LARGE_BYTES))))
     }
 
-    fn session(&self, session: RunnerSession) -> bool {
-        self.0.session(session)
+    fn accept_session(&self, session: RunnerSession) -> bool {
+        self.0.accept_session(session)
     }
 }
 
 /// Passes bytes on at 25 Mbit/s.
-async fn pass_slowly(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
+async fn relay_at_25_mbit(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(bytes @ 1..) = from.read(&mut buffer).await {
         if to.write_all(&buffer[..bytes]).await.is_err() {
@@ -276,12 +278,12 @@
 }
 
 /// A large peer behind a narrow link.
-async fn peer_behind_narrow_link(metrics: &Arc<OtelMetrics>) -> SocketAddr {
+async fn peer_behind_slow_link(metrics: &Arc<OtelMetrics>) -> SocketAddr {
     let peer = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let peer_addr = peer.local_addr().expect("address");
     tokio::spawn(serve_peers(
         peer,
-        Arc::new(LargePeer::default()),
+        Arc::new(LargeReplyPeer::default()),
         metrics.clone(),
     ));
     let link = TcpListener::bind("127.0.0.1:0").await.expect("listen");
@@ -291,16 +293,19 @@
         let far = TcpStream::connect(peer_addr).await.expect("connect");
         let (near_in, near_out) = near.into_split();
         let (far_in, far_out) = far.into_split();
-        tokio::join!(pass_slowly(near_in, far_out), pass_slowly(far_in, near_out));
+        tokio::join!(
+            relay_at_25_mbit(near_in, far_out),
+            relay_at_25_mbit(far_in, near_out)
+        );
     });
     link_addr
 }
 
 /// Guards against a connection that is taken as silent because a large answer goes before its pongs.
 #[tokio::test]
-async fn a_large_answer_over_a_narrow_link_keeps_its_connection() {
+async fn a_large_reply_over_a_slow_link_keeps_its_connection() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
-    let addr = peer_behind_narrow_link(&metrics).await;
+    let addr = peer_behind_slow_link(&metrics).await;
     let client = H2Client::new(metrics);
     let reply = client.call(addr, PeerRequest::Configuration).await;
     let Ok(PeerReply::Configuration(Some((_, text)))) = reply else {
@@ -311,9 +316,9 @@
 
 /// Guards against a connection that is taken as silent because a task's large input goes before its pings.
 #[tokio::test]
-async fn a_large_input_over_a_narrow_link_keeps_its_session() {
+async fn a_large_input_over_a_slow_link_keeps_its_session() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
-    let addr = peer_behind_narrow_link(&metrics).await;
+    let addr = peer_behind_slow_link(&metrics).await;
     let client = H2Client::new(metrics);
     let session = client.open_session(addr, AgentId(1), 1).await;
     let mut session = session.expect("session");
--- a/src/adapters/platform/budgeted_store.rs
+++ b/src/adapters/platform/budgeted_store.rs
@@ -27,13 +27,13 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn within<T>(
+    async fn call_within_budget<T>(
         &self,
         kind: CallKind,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let admitted = self.lock().admit(self.timer.now(), kind, self.urgency);
-        if let Err(refusal) = admitted {
+        let admission = self.lock().admit(self.timer.now(), kind, self.urgency);
+        if let Err(refusal) = admission {
             self.metrics.count(Counter::StoreCalls, refusal.as_str());
             return Err(StoreError::Unavailable(refusal.as_str().to_owned()));
         }
@@ -46,28 +46,30 @@
 #[async_trait]
 impl<S: Table> Table for BudgetedStore<S> {
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
-        self.within(CallKind::Read, self.store.get(key)).await
+        self.call_within_budget(CallKind::Read, self.store.get(key))
+            .await
     }
 
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, StoreError> {
-        self.within(CallKind::Read, self.store.scan(prefix)).await
+        self.call_within_budget(CallKind::Read, self.store.scan(prefix))
+            .await
     }
 
     async fn transact(&self, transaction: Transaction) -> Result<TransactionOutcome, StoreError> {
         let call = self.store.transact(transaction);
-        self.within(CallKind::Write, call).await
+        self.call_within_budget(CallKind::Write, call).await
     }
 }
 
 #[async_trait]
 impl<S: ObjectStore> ObjectStore for BudgetedStore<S> {
     async fn get_object(&self, name: &str) -> Result<Option<String>, StoreError> {
-        self.within(CallKind::Read, self.store.get_object(name))
+        self.call_within_budget(CallKind::Read, self.store.get_object(name))
             .await
     }
 
     async fn put_object(&self, name: &str, body: String) -> Result<(), StoreError> {
         let call = self.store.put_object(name, body);
-        self.within(CallKind::Write, call).await
+        self.call_within_budget(CallKind::Write, call).await
     }
 }
--- a/src/adapters/platform/http_store.rs
+++ b/src/adapters/platform/http_store.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        adapters::http::read_long_body,
+        adapters::http::read_body_with_idle_timeout,
         ports::{
             Counter, Metrics, ObjectStore, Row, StoreError, Table, Transaction, TransactionOutcome,
         },
@@ -67,7 +67,7 @@
                 }
             })?;
         let status = response.status();
-        let body = read_long_body(response.into_body(), self.timeout_ms).await;
+        let body = read_body_with_idle_timeout(response.into_body(), self.timeout_ms).await;
         let body = body.map_err(StoreError::OutcomeUnknown)?;
         if status == StatusCode::SERVICE_UNAVAILABLE {
             return Err(StoreError::Unavailable("the platform is down".to_owned()));
@@ -76,7 +76,7 @@
     }
 
     /// Sends a call and counts how it went.
-    async fn counted(
+    async fn send_counted(
         &self,
         method: Method,
         path: &str,
@@ -106,7 +106,7 @@
 impl Table for HttpStore {
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
         let path = format!("/table/rows/{key}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => parse(&body).map(Some),
             (StatusCode::NOT_FOUND, _) => Ok(None),
             (status, _) => Err(unexpected(status)),
@@ -115,7 +115,7 @@
 
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, StoreError> {
         let path = format!("/table/scan/{prefix}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => parse(&body),
             (status, _) => Err(unexpected(status)),
         }
@@ -124,7 +124,10 @@
     async fn transact(&self, transaction: Transaction) -> Result<TransactionOutcome, StoreError> {
         let body = serde_json::to_string(&transaction)
             .map_err(|error| StoreError::Unavailable(error.to_string()))?;
-        match self.counted(Method::POST, "/table/transact", body).await? {
+        match self
+            .send_counted(Method::POST, "/table/transact", body)
+            .await?
+        {
             (StatusCode::OK, body) => parse(&body),
             (status, _) => Err(unexpected(status)),
         }
@@ -135,7 +138,7 @@
 impl ObjectStore for HttpStore {
     async fn get_object(&self, name: &str) -> Result<Option<String>, StoreError> {
         let path = format!("/objects/{name}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => String::from_utf8(body.to_vec())
                 .map(Some)
                 .map_err(|error| StoreError::OutcomeUnknown(error.to_string())),
@@ -146,7 +149,7 @@
 
     async fn put_object(&self, name: &str, body: String) -> Result<(), StoreError> {
         let path = format!("/objects/{name}");
-        match self.counted(Method::PUT, &path, body).await? {
+        match self.send_counted(Method::PUT, &path, body).await? {
             (StatusCode::OK, _) => Ok(()),
             (status, _) => Err(unexpected(status)),
         }
--- a/src/adapters/platform/tests.rs
+++ b/src/adapters/platform/tests.rs
@@ -12,7 +12,7 @@
 
 /// Guards against a document that is given up while it arrives.
 #[tokio::test]
-async fn an_object_that_arrives_slowly_is_read_to_its_end() {
+async fn a_slowly_arriving_object_is_not_timed_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let addr = listener.local_addr().expect("address");
     tokio::spawn(async move {
--- a/src/adapters/socket/observed_socket.rs
+++ b/src/adapters/socket/observed_socket.rs
@@ -45,11 +45,11 @@
         &self.observer
     }
 
-    fn written(&self, outcome: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(bytes)) = outcome {
+    fn observe_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = result {
             self.observer.on_written(bytes);
         }
-        outcome
+        result
     }
 }
 
@@ -76,8 +76,8 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         self.observer.before_write()?;
-        let outcome = Pin::new(&mut self.socket).poll_write(context, bytes);
-        self.written(outcome)
+        let result = Pin::new(&mut self.socket).poll_write(context, bytes);
+        self.observe_write(result)
     }
 
     fn poll_write_vectored(
@@ -86,8 +86,8 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         self.observer.before_write()?;
-        let outcome = Pin::new(&mut self.socket).poll_write_vectored(context, slices);
-        self.written(outcome)
+        let result = Pin::new(&mut self.socket).poll_write_vectored(context, slices);
+        self.observe_write(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/adapters/timer/backoff.rs
+++ b/src/adapters/timer/backoff.rs
@@ -8,31 +8,31 @@
 /// Pauses that double from the first to the last until a try succeeds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Backoff {
-    first_ms: u64,
-    last_ms: u64,
+    initial_ms: u64,
+    max_ms: u64,
     next_ms: u64,
 }
 
 impl Backoff {
     /// Begins with the first pause.
-    pub(crate) const fn new(first_ms: u64, last_ms: u64) -> Self {
+    pub(crate) const fn new(initial_ms: u64, max_ms: u64) -> Self {
         Self {
-            first_ms,
-            last_ms,
-            next_ms: first_ms,
+            initial_ms,
+            max_ms,
+            next_ms: initial_ms,
         }
     }
 
     /// Notes that a try has succeeded.
     pub(crate) const fn reset(&mut self) {
-        self.next_ms = self.first_ms;
+        self.next_ms = self.initial_ms;
     }
 
     /// Waits before the next try.
     pub(crate) async fn wait(&mut self) {
-        let (least, most) = JITTER_PERCENT;
-        let jitter = rand::random_range(least..=most);
+        let (min, max) = JITTER_PERCENT;
+        let jitter = rand::random_range(min..=max);
         sleep(Duration::from_millis(self.next_ms * jitter / 100)).await;
-        self.next_ms = (self.next_ms * 2).min(self.last_ms);
+        self.next_ms = (self.next_ms * 2).min(self.max_ms);
     }
 }
--- a/src/agent/peer_handler.rs
+++ b/src/agent/peer_handler.rs
@@ -29,7 +29,7 @@
 
 #[async_trait]
 impl PeerHandler for AgentPeerHandler {
-    async fn call(&self, request: PeerRequest) -> PeerReply {
+    async fn handle_call(&self, request: PeerRequest) -> PeerReply {
         if let PeerRequest::Gate(notice) = request {
             self.agent.gate_changed(notice);
             return PeerReply::Noted;
@@ -46,7 +46,7 @@
         self.call_home(ticket, request).await
     }
 
-    fn session(&self, session: RunnerSession) -> bool {
+    fn accept_session(&self, session: RunnerSession) -> bool {
         self.agent
             .runner
             .send(RunnerInput::Session(session))
--- a/src/entry/peer_handler.rs
+++ b/src/entry/peer_handler.rs
@@ -18,7 +18,7 @@
 
 #[async_trait]
 impl PeerHandler for EntryPeerHandler {
-    async fn call(&self, request: PeerRequest) -> PeerReply {
+    async fn handle_call(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Announce(announcement) => {
                 PeerReply::Announced(self.state.announce(announcement))
@@ -36,7 +36,7 @@
         }
     }
 
-    fn session(&self, _session: RunnerSession) -> bool {
+    fn accept_session(&self, _session: RunnerSession) -> bool {
         false
     }
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -180,7 +180,7 @@
             },
             claims: self.start_claims(),
             state: Arc::clone(&self.state),
-            keeper: Arc::clone(&self.keeper),
+            config: Arc::clone(&self.keeper),
             metrics: Arc::clone(&self.metrics),
             max_body_bytes: settings.max_body_bytes,
             max_deadline_ms: settings.max_deadline_ms,
--- a/src/platform/platform_caller.rs
+++ b/src/platform/platform_caller.rs
@@ -2,7 +2,7 @@
 
 use {
     super::PlatformError,
-    crate::adapters::http::read_long_body,
+    crate::adapters::http::read_body_with_idle_timeout,
     bytes::Bytes,
     http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode},
     http_body_util::{BodyExt, Full},
@@ -83,7 +83,7 @@
         let response = timeout(limit, self.send(call));
         let response = response.await.map_err(|_| timed_out())??;
         let status = response.status();
-        let body = read_long_body(response.into_body(), pause_ms).await;
+        let body = read_body_with_idle_timeout(response.into_body(), pause_ms).await;
         Ok((status, body.map_err(no_answer)?))
     }
 
