--- a/src/adapters/backend/gated_connection.rs
+++ b/src/adapters/backend/gated_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the backend server on which no request is written without a permit.
+//! Connection to the backend server that writes a request only under a valid permit.
 
 use {
     crate::{
@@ -22,14 +22,14 @@
     tokio::net::TcpStream,
 };
 
-/// No request waits to be written, or its first bytes have been.
+/// No request is pending; the last one has been written at least partly.
 const WRITTEN: u8 = 0;
-/// A request waits to be written.
+/// None of the current request has been written.
 const PENDING: u8 = 1;
-/// The request that waited was refused: none of its bytes will be written.
+/// The pending request was refused; none of it will be written.
 const REFUSED: u8 = 2;
 
-/// Looks at the permit when the first bytes of a request are about to be written.
+/// Checks the permit immediately before the first bytes of a request are written.
 #[derive(Debug)]
 pub(super) struct WriteGate {
     permit: Arc<SharedPermit>,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// A request is about to be handed to the connection.
+    /// Marks the next request as pending.
     fn arm(&self) {
         self.state.store(PENDING, Ordering::SeqCst);
     }
 
-    /// Makes sure that the request is never written; false if some of it was.
+    /// Prevents the request from being written; false if some of it has been.
     pub(super) fn refuse(&self) -> bool {
         let swapped =
             self.state
@@ -59,13 +59,13 @@
         swapped.is_ok() || swapped == Err(REFUSED)
     }
 
-    /// Whether the permit had ended when the request was about to be written.
+    /// Whether the permit is no longer valid.
     pub(super) fn is_permit_expired(&self) -> bool {
         !self.permit.is_valid(self.timer.now())
     }
 
-    /// Guards against a process that was frozen after it took a start: the permit may have ended
-    /// and the zone been taken out since. Only the system call itself comes after this check.
+    /// Checks the permit right before the system call that writes. A process may have been
+    /// suspended since it accepted the start, until after its permit expired and its zone was evacuated.
     fn authorize_write(&self) -> io::Result<()> {
         if self.state.load(Ordering::SeqCst) == WRITTEN {
             return Ok(());
@@ -89,7 +89,7 @@
     }
 }
 
-/// An open connection; one request at a time.
+/// An open connection that sends one request at a time.
 #[derive(Debug)]
 pub(super) struct GatedConnection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -97,29 +97,27 @@
 }
 
 impl GatedConnection {
-    /// Connects to the backend server.
     pub(super) async fn open(addr: SocketAddr, gate: WriteGate) -> io::Result<Self> {
         let socket = TcpStream::connect(addr).await?;
         socket.set_nodelay(true)?;
         let gate = Arc::new(gate);
         let stream = TokioIo::new(ObservedSocket::new(socket, Arc::clone(&gate)));
         let (sender, connection) = http1::handshake(stream).await.map_err(io::Error::other)?;
-        // Its end shows in the request that is under way, or when the next one is tried.
+        // A connection error also fails the current or the next request.
         tokio::spawn(async move { connection.await.ok() });
         Ok(Self { sender, gate })
     }
 
-    /// Waits until another request can be sent; false if the connection is gone.
+    /// Waits until another request can be sent; false if the connection is closed.
     pub(super) async fn is_usable(&mut self) -> bool {
         !self.sender.is_closed() && self.sender.ready().await.is_ok()
     }
 
-    /// What guards the request under way.
     pub(super) fn gate(&self) -> Arc<WriteGate> {
         Arc::clone(&self.gate)
     }
 
-    /// Sends a request if there is a permit when its bytes are written.
+    /// Sends a request; fails if the permit is not valid when its bytes are written.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/src/adapters/backend/http_backend.rs
+++ b/src/adapters/backend/http_backend.rs
@@ -1,4 +1,4 @@
-//! Runs tasks as HTTP requests to the backend server beside the agent.
+//! Runs tasks as HTTP requests to the backend server on the agent's host.
 
 use {
     super::gated_connection::{GatedConnection, WriteGate},
@@ -27,32 +27,30 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// Where tasks are posted.
 pub(crate) const RUN_PATH: &str = "/run";
-/// Where a running task's name is posted to stop it.
 pub(crate) const STOP_PATH: &str = "/stop";
-/// Names the task.
+/// Header with the identity of the task.
 pub(crate) const TASK_HEADER: &str = "rattanslip-task";
-/// Names the service.
+/// Header with the service.
 pub(crate) const SERVICE_HEADER: &str = "rattanslip-service";
-/// On a refusal: `1` says that the task did not run.
+/// Header of an error response; `1` if the task did not run.
 pub(crate) const NOT_RUN_HEADER: &str = "rattanslip-not-run";
 
-/// The backend server at the address that it announced.
+/// Client of the backend server at its announced address.
 #[derive(Debug)]
 pub(crate) struct HttpBackend {
     addr: Mutex<Option<SocketAddr>>,
     permit: Arc<SharedPermit>,
     timer: Arc<dyn TimerService>,
-    /// Open connections without a request, with where they lead.
+    /// Idle connections and their addresses.
     idle: Mutex<Vec<(SocketAddr, GatedConnection)>>,
     max_idle_connections: usize,
-    /// For requests that start nothing.
+    /// For requests that need no permit.
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpBackend {
-    /// No backend server yet; at most `connections` idle connections are kept.
+    /// Creates a client without an address that retains at most `max_idle_connections`.
     pub(crate) fn new(
         max_idle_connections: usize,
         permit: Arc<SharedPermit>,
@@ -71,7 +69,6 @@
         }
     }
 
-    /// Takes in where the backend server listens.
     pub(crate) fn set_addr(&self, addr: SocketAddr) {
         *self.lock_addr() = Some(addr);
     }
@@ -97,7 +94,7 @@
             .ok()
     }
 
-    /// A connection without a request: one that is open already, or a new one.
+    /// Returns an idle connection or opens a new one.
     async fn connection(&self, addr: SocketAddr) -> Option<GatedConnection> {
         loop {
             let idle = self.lock_idle().pop();
@@ -155,7 +152,7 @@
     }
 }
 
-/// The outcome of a request that brought no answer: "not run" if none of it was written.
+/// Outcome of a request without a response: "not run" if none of the request was written.
 fn failure_outcome(gate: &WriteGate, reason: MayHaveRunReason) -> TaskOutcome {
     if !gate.refuse() {
         return TaskOutcome::MayHaveRun { reason };
@@ -201,7 +198,7 @@
             .header(TASK_HEADER, task.to_string())
             .body(Full::new(Bytes::new()));
         if let Ok(request) = request {
-            // Stopping is a courtesy: the task's own reply says how it ended.
+            // Best effort: the task's outcome comes with the response to its run request.
             let _ = self.client.request(request).await;
         }
     }
--- a/src/adapters/backend/mod.rs
+++ b/src/adapters/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The backend server over HTTP/1.1.
+//! Client of the backend server over HTTP/1.1.
 
 mod gated_connection;
 mod http_backend;
--- a/src/adapters/backend/tests.rs
+++ b/src/adapters/backend/tests.rs
@@ -24,7 +24,7 @@
     },
 };
 
-/// A clock that the test moves.
+/// A clock that the test advances.
 #[derive(Debug, Default)]
 struct ManualClock(AtomicU64);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A backend server that answers "done" and keeps what it read.
+/// A backend server that responds "done" and records the bytes that it reads.
 #[derive(Debug)]
 struct Server {
     connections: Arc<AtomicU64>,
@@ -95,9 +95,8 @@
     }
 }
 
-/// A runner takes a start under a permit and is frozen before its bytes are written; meanwhile
-/// the zone is taken out. When it goes on, an operator sees a task start in a closed zone. The
-/// clock jumps here as it does over a freeze; not one byte may go out, and "not run" is true.
+/// A process that is suspended between accepting a start and writing the request must not start the
+/// task after its permit has expired. The jump of the clock stands for the suspension.
 #[tokio::test]
 async fn a_request_whose_permit_expired_before_the_write_sends_no_bytes() {
     let (permit, clock) = (
--- a/src/adapters/http/agent_api.rs
+++ b/src/adapters/http/agent_api.rs
@@ -1,4 +1,4 @@
-//! The agent's routes: its backend server announces itself here.
+//! The agent's HTTP routes: announcements of its backend server, metrics and health.
 
 use {
     super::health::with_health,
@@ -14,7 +14,7 @@
     std::{future::Future, net::SocketAddr, sync::Arc},
 };
 
-/// What the routes work with.
+/// State of the routes.
 #[derive(Debug)]
 pub(crate) struct AgentApi {
     pub(crate) agent: Arc<AgentHandle>,
@@ -22,24 +22,22 @@
     pub(crate) metrics: Arc<dyn Metrics>,
 }
 
-/// A backend server's announcement to the agent beside it, every second.
+/// Announcement that the backend server sends to its agent every second.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct BackendBody {
-    /// Where the backend server listens.
     pub(crate) addr: SocketAddr,
-    /// Services that it runs.
     pub(crate) services: Vec<String>,
-    /// Tasks that it runs at a time.
+    /// Maximum number of concurrent tasks.
     pub(crate) slots: u16,
-    /// It wants no new work.
+    /// The backend server accepts no new tasks.
     #[serde(default)]
     pub(crate) leaving: bool,
 }
 
 type Api<'a> = Data<&'a Arc<AgentApi>>;
 
-/// Serves the backend server, metrics and health until `stop` resolves.
+/// Serves the routes until `stop` resolves.
 pub(crate) async fn serve_agent_api(
     listen: SocketAddr,
     api: Arc<AgentApi>,
--- a/src/adapters/http/body_reader.rs
+++ b/src/adapters/http/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reads answers that may be long.
+//! Reads response bodies that may be large.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -8,9 +8,9 @@
     tokio::time::timeout,
 };
 
-/// Reads a body for as long as it comes without a pause of `pause_ms`; the error says what ended it.
+/// Reads a body and fails if no data arrives for `idle_timeout_ms`.
 ///
-/// Guards against a large answer that is given up over and over because it shares its link with others.
+/// There is no limit on the total time, so a large response over a slow link completes.
 pub(crate) async fn read_body_with_idle_timeout(
     mut body: Incoming,
     idle_timeout_ms: u64,
--- a/src/adapters/http/client.rs
+++ b/src/adapters/http/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the project's own tools.
+//! HTTP client for the project's own tools.
 
 use {
     bytes::Bytes,
@@ -13,20 +13,20 @@
 };
 
 quick_error! {
-    /// Why there was no reply.
+    /// Why a request failed.
     #[derive(Debug)]
     pub enum HttpClientError {
-        /// The request can't be formed.
+        /// The request is not valid.
         Request(error: http::Error) {
             from()
             display("{}", error)
         }
-        /// No connection, or it broke.
+        /// Connecting, sending the request or receiving the response headers failed.
         Exchange(error: hyper_util::client::legacy::Error) {
             from()
             display("{}", error)
         }
-        /// The body broke off.
+        /// Reading the response body failed.
         Body(error: hyper::Error) {
             from()
             display("{}", error)
@@ -34,24 +34,21 @@
     }
 }
 
-/// A reply read to its end.
+/// A response with its complete body.
 #[derive(Debug)]
 pub(crate) struct HttpClientResponse {
-    /// The status.
     pub(crate) status: StatusCode,
-    /// The headers.
     pub(crate) headers: HeaderMap,
-    /// The body.
     pub(crate) body: Bytes,
 }
 
 impl HttpClientResponse {
-    /// The body as text.
+    /// The body as text, with invalid UTF-8 replaced.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header as text, empty if absent.
+    /// A header as text, empty if absent or not ASCII.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -60,14 +57,13 @@
     }
 }
 
-/// Sends requests to addresses by IP number.
+/// Sends requests to IP addresses.
 #[derive(Debug, Clone)]
 pub(crate) struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client without connections.
     pub(crate) fn new() -> Self {
         Self {
             client: Client::builder(TokioExecutor::new())
@@ -76,7 +72,7 @@
         }
     }
 
-    /// Sends a request and reads the reply to its end.
+    /// Sends a request and reads the complete response.
     pub(crate) async fn send(
         &self,
         method: Method,
--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -1,4 +1,4 @@
-//! What clients call.
+//! HTTP handlers for clients.
 
 use {
     super::{
@@ -27,17 +27,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Carries a job's ticket.
+/// Header with a job's ticket.
 pub(crate) const TICKET_HEADER: &str = "rattanslip-ticket";
-/// Carries the client's own key for a job.
+/// Header with the client's own key for a job.
 pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Names the team on whose quota a request draws.
+/// Header with the team whose quota the request consumes.
 pub(crate) const TEAM_HEADER: &str = "rattanslip-team";
-/// Most tickets handed out at a time.
+/// Maximum number of tickets in one response.
 const MAX_TICKETS: usize = 1_000;
-/// Longest key that a client may choose, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// When to come back while no home grants tickets, in milliseconds.
+/// Retry delay sent to clients while no home grants tickets.
 const TICKET_RETRY_AFTER_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
@@ -240,7 +240,7 @@
     })
 }
 
-/// The ticket that the request carries, or the one that its key is bound to.
+/// Returns the ticket in the request, or the one that its idempotency key is bound to.
 async fn identity(api: &EntryApi, request: &Request, team: &str) -> Result<Identity, Refusal> {
     if let Some(text) = request.header(TICKET_HEADER) {
         return parse_ticket(text).map(Identity::of_ticket);
@@ -275,7 +275,7 @@
     Refusal::retry_after(NotRunReason::NoTickets, TICKET_RETRY_AFTER_MS)
 }
 
-/// The answer to the client, counted by refusal reason or verdict.
+/// Builds the response and counts it by rejection reason or verdict.
 fn counted_response(api: &EntryApi, result: Result<Response, Refusal>) -> Response {
     let response = match result {
         Ok(response) => response,
@@ -296,7 +296,7 @@
     response
 }
 
-/// Gives the client its next ticket, so that the steady state has no extra round trip.
+/// Adds a ticket for the next job, which saves the client a request for tickets.
 fn with_next_ticket(api: &EntryApi, mut response: Response) -> Response {
     if let Some(ticket) = api.state.mint(1).pop()
         && let Ok(value) = HeaderValue::from_str(&ticket.to_string())
--- a/src/adapters/http/config_body.rs
+++ b/src/adapters/http/config_body.rs
@@ -1,4 +1,4 @@
-//! What operators send with their calls.
+//! Bodies and queries of operators' requests.
 
 use {
     crate::{
@@ -10,33 +10,32 @@
     std::collections::BTreeMap,
 };
 
-/// A document on its way to be applied or compared.
+/// A document to apply or to compare.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChangeBody {
-    /// The document's text.
     pub(crate) text: String,
-    /// The versions that it was made from; the document's first line says it otherwise.
+    /// Versions that the document is based on. If absent, the document's first line names one.
     #[serde(default)]
     pub(crate) based_on: Option<BasedOnBody>,
-    /// Whether the last open availability zone may be closed.
+    /// Allows closing the last open availability zone.
     #[serde(default)]
     pub(crate) close_last_zone: bool,
 }
 
-/// What a document was made from.
+/// Versions that a document is based on.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum BasedOnBody {
-    /// One version for all sections.
+    /// The same version for all sections.
     Version(u64),
-    /// A version for each section; one that isn't listed was made from nothing.
+    /// A version per section; a section that isn't listed is based on version 0.
     Sections(BTreeMap<String, u64>),
 }
 
 impl BasedOnBody {
-    /// The versions by section. A document that doesn't say what it was made from was made from
-    /// nothing: whatever it says differently from the one in force is a conflict.
+    /// Returns the base version of each section. Without a base version every difference from the
+    /// configuration in force is a conflict.
     pub(crate) fn sections(body: Option<Self>, text: &str) -> Result<BasedOn, String> {
         match body {
             Some(Self::Version(version)) => Ok(based_on_all(version)),
@@ -59,24 +58,21 @@
         .collect()
 }
 
-/// Which version to show.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ShowQuery {
-    /// The version; the one in force if not given.
+    /// Version to show; defaults to the one in force.
     pub(crate) version: Option<u64>,
 }
 
-/// How much of the history to show.
 #[derive(Debug, Deserialize)]
 pub(crate) struct HistoryQuery {
-    /// The number of newest versions.
+    /// Number of versions to show, newest first.
     pub(crate) last: Option<u64>,
 }
 
-/// How to take a zone out.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ZoneQuery {
-    /// Whether it may be the last open one.
+    /// Allows closing the last open zone.
     #[serde(default)]
     pub(crate) last: bool,
 }
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -1,4 +1,4 @@
-//! The entry's routes.
+//! The entry's HTTP routes.
 
 use {
     super::{client_api, health::with_health, operator_api, response::Refusal},
@@ -15,10 +15,10 @@
     std::{future::Future, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Longest time that requests under way may take after a stop, in seconds.
+/// Time for requests in progress to complete on shutdown, in seconds.
 const SHUTDOWN_TIMEOUT_S: u64 = 130;
 
-/// What the routes work with.
+/// State of the routes.
 #[derive(Debug)]
 pub(crate) struct EntryApi {
     pub(crate) jobs: Jobs,
@@ -30,10 +30,10 @@
     pub(crate) max_deadline_ms: u64,
 }
 
-/// The entry's API as its handlers see it.
+/// Extracts the entry's API in handlers.
 pub(crate) type Api<'a> = Data<&'a Arc<EntryApi>>;
 
-/// Serves clients and operators until `stop` resolves and requests under way are answered.
+/// Serves clients and operators until `stop` resolves, then completes the requests in progress.
 pub(crate) async fn serve_entry_api(
     listen: SocketAddr,
     api: Arc<EntryApi>,
@@ -65,7 +65,7 @@
         .map_err(|error| RunError::Listen(listen, error))
 }
 
-/// Answers what no route takes; nothing ran, and the answer says so like any other.
+/// Response to requests that match no route, with a "not run" verdict like other rejections.
 async fn route_error_response(error: poem::Error) -> Response {
     let refusal = Refusal::new(NotRunReason::BadRequest, error.to_string());
     let mut response = refusal.response();
--- a/src/adapters/http/health.rs
+++ b/src/adapters/http/health.rs
@@ -1,4 +1,4 @@
-//! Routes that every service has.
+//! Routes for metrics and health checks, common to all services.
 
 use {
     crate::ports::Metrics,
--- a/src/adapters/http/http_server.rs
+++ b/src/adapters/http/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server for clients, workers and probes.
+//! HTTP/1.1 server for clients, workers and probes.
 
 use {
     super::timed_socket::{ConnectionClock, TimedSocket},
@@ -17,37 +17,34 @@
     },
 };
 
-/// Least buffer that the HTTP library takes, in bytes.
+/// Minimum buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
-/// Pause after an accept that failed, in milliseconds: descriptors may be used up for a moment.
+/// Delay after a failed accept; the process may be out of file descriptors for a moment.
 const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
-/// Looks at a connection's clock in one header time-out.
+/// Checks of a connection per header timeout.
 const CHECKS_PER_HEADER_TIMEOUT: u64 = 2;
 
-/// A call, read to its end.
+/// A request with its complete body.
 #[derive(Debug)]
 pub(crate) struct HttpRequest {
-    /// The method.
     pub(crate) method: Method,
-    /// The path without its query.
+    /// The path without the query.
     pub(crate) path: String,
-    /// The query, empty if there is none.
+    /// The query, empty if absent.
     pub(crate) query: String,
-    /// The host that it names, without a port.
+    /// The `Host` header without the port, empty if absent.
     pub(crate) host: String,
-    /// The body.
     pub(crate) body: Bytes,
     headers: HeaderMap,
 }
 
 impl HttpRequest {
-    /// A header's text, if there is one that is text.
+    /// A header's value, if present and ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// An answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct HttpResponse {
     status: StatusCode,
@@ -56,7 +53,7 @@
 }
 
 impl HttpResponse {
-    /// An answer without a body.
+    /// A response without a body.
     pub(crate) const fn empty(status: StatusCode) -> Self {
         Self {
             status,
@@ -65,7 +62,7 @@
         }
     }
 
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> Self {
         let json = HeaderValue::from_static("application/json");
         Self {
@@ -75,7 +72,7 @@
         }
     }
 
-    /// An answer with a body of plain text.
+    /// A response with a plain-text body.
     pub(crate) fn text(status: StatusCode, body: impl Into<Bytes>) -> Self {
         let text = HeaderValue::from_static("text/plain; version=0.0.4");
         Self {
@@ -85,7 +82,7 @@
         }
     }
 
-    /// The same with one more header; a value that is no text of a header is left out.
+    /// Adds a header; an invalid header value is ignored.
     pub(crate) fn with_header(mut self, name: HeaderName, value: &str) -> Self {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.headers.push((name, value));
@@ -101,19 +98,20 @@
     }
 }
 
-/// What a process does with calls.
+/// Handles the requests to a process.
 #[async_trait]
 pub(crate) trait HttpHandler: Debug + Send + Sync {
-    /// Answers one call. Dropped when the caller's connection is gone.
+    /// Handles one request. The future is dropped when the client disconnects.
     async fn handle(&self, request: HttpRequest) -> HttpResponse;
 
-    /// The limits in force for connections that are opened now.
+    /// Limits for new connections.
     fn limits(&self) -> HttpLimits {
         HttpLimits::default()
     }
 }
 
-/// Serves calls until `stop` turns true; then connections end after the call that they are at.
+/// Serves connections until the task is dropped. Once `stop` is true, connections close after their
+/// current request.
 pub(crate) async fn serve_http(
     listener: TcpListener,
     handler: Arc<dyn HttpHandler>,
@@ -138,7 +136,7 @@
     mut stop: watch::Receiver<bool>,
 ) {
     if let Err(error) = socket.set_nodelay(true) {
-        log::debug!(error:% = error; "a connection broke as it was opened");
+        log::debug!(error:% = error; "failed to set TCP_NODELAY on a connection");
         return;
     }
     let limits = handler.limits();
@@ -167,7 +165,7 @@
         tokio::select! {
             result = connection.as_mut() => {
                 if let Err(error) = result {
-                    log::debug!(error:% = error; "a connection broke");
+                    log::debug!(error:% = error; "connection failed");
                 }
                 return;
             }
@@ -194,7 +192,7 @@
 ) -> Response<Full<Bytes>> {
     let (parts, body) = request.into_parts();
     let read = Limited::new(body, limits.max_body_bytes).collect();
-    // Guards against bodies that come at a trickle: they would hold their connection for good.
+    // A body that is sent too slowly must not occupy its connection indefinitely.
     let body = match timeout(Duration::from_millis(limits.idle_timeout_ms), read).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
@@ -218,7 +216,7 @@
     handler.handle(request).await.into_response()
 }
 
-/// An answer after which the connection ends, since the rest of the call's body is not read.
+/// Response that closes the connection, since the rest of the request body is not read.
 fn close_with_status(status: StatusCode) -> Response<Full<Bytes>> {
     HttpResponse::empty(status)
         .with_header(http::header::CONNECTION, "close")
--- a/src/adapters/http/job_body.rs
+++ b/src/adapters/http/job_body.rs
@@ -1,41 +1,37 @@
-//! The JSON body of a submitted job.
+//! JSON body of a submitted job.
 
 use {
     crate::core::job::TaskSpec,
     serde::{Deserialize, Serialize},
 };
 
-/// One task in JSON.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TaskBody {
-    /// Handed to the backend server.
+    /// Passed to the backend server unchanged.
     pub(crate) input: String,
-    /// How long the client believes the task runs.
+    /// Client's estimate of the run time.
     #[serde(default)]
     pub(crate) declared_run_ms: u32,
-    /// Memory that the task needs; the service's if not given.
+    /// Required memory; defaults to the service's.
     pub(crate) memory_mb: Option<u32>,
-    /// Accelerators that the task needs; the service's if not given.
+    /// Required accelerators; defaults to the service's.
     pub(crate) accelerators: Option<u16>,
 }
 
-/// A job in JSON.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct JobBody {
-    /// The service.
     pub(crate) service: String,
-    /// Time until the client stops waiting; the service's default if not given.
+    /// Time until the client stops waiting; defaults to the service's.
     pub(crate) deadline_ms: Option<u64>,
-    /// Whether tasks may run more than once; the service's word if not given.
+    /// Whether tasks may run more than once; defaults to the service's setting.
     pub(crate) repeatable: Option<bool>,
-    /// The tasks.
     pub(crate) tasks: Vec<TaskBody>,
 }
 
 impl TaskBody {
-    /// The task with the service's needs where it declares none.
+    /// Converts to a task, with the service's resources where the client declares none.
     pub(crate) fn into_spec(self, memory_mb: u32, accelerators: u16) -> TaskSpec {
         TaskSpec {
             input: self.input,
--- a/src/adapters/http/known_job.rs
+++ b/src/adapters/http/known_job.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests whose job may have been submitted before.
+//! Rejection of requests whose job may have been submitted before.
 
 use {
     super::{
@@ -13,12 +13,12 @@
     poem::{Request, Response},
 };
 
-/// Replaces a refusal by the job's own answer if the request is a resubmission of a known job.
+/// Replaces a rejection by the job's outcome if the request resubmits a known job.
 ///
-/// Guards against a false "not run": the first submission ran, its answer was lost, and the
-/// resubmission meets an entry that refuses it, because the service has left the configuration
-/// meanwhile or the entry has just started. The client would send the job anew under another
-/// identity. So what carries an identity is refused only when its home has not seen it.
+/// A request with a ticket or idempotency key is rejected as "not run" only if its home doesn't know
+/// the job. Otherwise a client whose first response was lost could resubmit a job that ran, get a false
+/// "not run" from an entry that has no configuration yet or no longer knows the service, and submit
+/// the job again under another ticket.
 pub(super) async fn replace_if_known(
     api: &EntryApi,
     request: &Request,
--- a/src/adapters/http/mod.rs
+++ b/src/adapters/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards clients, operators and backend servers, by poem.
+//! HTTP servers and clients, based on poem and hyper.
 
 mod agent_api;
 mod body_reader;
--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators call.
+//! HTTP handlers for operators.
 
 use {
     super::{
@@ -19,9 +19,9 @@
     std::sync::Arc,
 };
 
-/// Versions that a history shows if none are asked for.
+/// Versions in a history if the request names no number.
 const DEFAULT_HISTORY_VERSIONS: u64 = 100;
-/// When to come back after a change was refused for want of the platform or of a turn, in seconds.
+/// Retry delay after a change failed because the platform was unavailable or another change was in progress.
 const RETRY_AFTER_S: u64 = 2;
 
 /// `GET /v1/config`, `GET /v1/config?version=N`
@@ -59,7 +59,7 @@
     change_response(api.config.apply(operator, &change).await)
 }
 
-/// `POST /v1/config/diff`: what the change would do now; without a token for any section.
+/// `POST /v1/config/diff`: preview of a change. Without a token, changes of any section are allowed.
 #[handler]
 pub(crate) async fn diff(api: Api<'_>, request: &Request, body: Json<ChangeBody>) -> Response {
     let sections = match (authenticate(&api, request), request.header("authorization")) {
@@ -98,7 +98,7 @@
     let state = match state.as_str() {
         "out" => ZoneState::Out,
         "in" => ZoneState::Open,
-        _ => return error_response(StatusCode::NOT_FOUND, "the last part is out or in"),
+        _ => return error_response(StatusCode::NOT_FOUND, "the path must end in /out or /in"),
     };
     let change = Change {
         edit: Edit::Zone { zone, state },
--- a/src/adapters/http/response.rs
+++ b/src/adapters/http/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: status, headers and JSON from a verdict.
+//! Responses to clients: status, headers and JSON of a verdict.
 
 use {
     crate::{
@@ -13,15 +13,15 @@
     serde::Serialize,
 };
 
-/// Carries the verdict: `done`, `not-run`, `may-have-run` or `running`.
+/// Header with the verdict: `done`, `not-run`, `may-have-run` or `running`.
 pub(crate) const VERDICT_HEADER: &str = "rattanslip-verdict";
-/// Carries the verdict's reason.
+/// Header with the verdict's reason.
 pub(crate) const REASON_HEADER: &str = "rattanslip-reason";
-/// When to come back, in milliseconds.
+/// Header with the retry delay in milliseconds.
 pub(crate) const RETRY_AFTER_MS_HEADER: &str = "rattanslip-retry-after-ms";
-/// The client's next ticket.
+/// Header with a ticket for the client's next job.
 pub(crate) const NEXT_TICKET_HEADER: &str = "rattanslip-next-ticket";
-/// When to come back, in whole seconds, for clients that know only HTTP.
+/// Standard header with the retry delay in whole seconds.
 const RETRY_AFTER_HEADER: &str = "retry-after";
 
 #[derive(Debug, Serialize)]
@@ -54,22 +54,24 @@
     tasks: Vec<TaskJson<'a>>,
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde calls it so")]
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "serde passes a reference"
+)]
 const fn is_zero(value: &u64) -> bool {
     *value == 0
 }
 
-/// A request that is answered without going further.
+/// Rejection of a request.
 #[derive(Debug)]
 pub(crate) struct Refusal {
-    /// What to tell the client's program.
     pub(crate) verdict: Verdict,
-    /// What to tell the client's developer.
+    /// Human-readable details; may be empty.
     pub(crate) message: String,
 }
 
 impl Refusal {
-    /// A refusal that coming back can't change.
+    /// A rejection without a retry delay.
     pub(crate) fn new(reason: NotRunReason, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::refused(reason),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A refusal with a time to come back.
+    /// A rejection with a retry delay.
     pub(crate) const fn retry_after(reason: NotRunReason, retry_after_ms: u64) -> Self {
         Self {
             verdict: Verdict::NotRun {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The answer to the client.
+    /// Builds the HTTP response.
     pub(crate) fn response(&self) -> Response {
         refusal_response(self.verdict, &self.message)
     }
@@ -105,7 +107,7 @@
     respond(verdict, &json)
 }
 
-/// The answer about a job.
+/// Builds the response about a job.
 pub(crate) fn job_response(ticket: Ticket, report: &JobReport) -> Response {
     match report {
         JobReport::Ended(answer) => ended(ticket, answer),
@@ -124,7 +126,7 @@
     }
 }
 
-/// The answer to a single request: the output as it is, or the verdict in JSON.
+/// Builds the response to a single request: the plain output, or the verdict as JSON.
 pub(crate) fn request_response(ticket: Ticket, report: &JobReport) -> Response {
     if let JobReport::Ended(answer) = report
         && let [TaskOutcome::Done { output }] = answer.outcomes.as_slice()
@@ -229,7 +231,7 @@
     response.body(body(json))
 }
 
-/// The HTTP status that says the same as the verdict.
+/// Maps a verdict to an HTTP status.
 pub(super) fn status_of(verdict: Verdict) -> StatusCode {
     match verdict {
         Verdict::Done => StatusCode::OK,
--- a/src/adapters/http/tests.rs
+++ b/src/adapters/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the answers against the page that promises them.
+//! Checks HTTP statuses against the API page.
 
 use {
     super::response::status_of,
@@ -8,7 +8,7 @@
 
 const API_PAGE: &str = include_str!("../../../docs/API.md");
 
-/// Statuses by reason, from the page's table under this heading.
+/// Parses the statuses by reason from the page's table with this heading.
 fn documented(heading: &str) -> BTreeMap<&'static str, u16> {
     let (_, table) = API_PAGE.split_once(heading).expect("heading");
     let rows = table
--- a/src/adapters/http/timed_socket.rs
+++ b/src/adapters/http/timed_socket.rs
@@ -1,4 +1,4 @@
-//! When the other end of a connection last sent something.
+//! Activity of an HTTP connection, for its timeouts.
 
 use {
     crate::adapters::socket::{ObservedSocket, SocketObserver},
@@ -10,15 +10,14 @@
 
 #[derive(Debug, Clone, Copy)]
 struct ConnectionState {
-    /// Bytes that came after the last answer; they are the head of a call, or its beginning.
+    /// When the first bytes of the current request header arrived.
     header_started_at: Option<Instant>,
-    /// The newest byte or answer.
+    /// When bytes last arrived or a response was completed.
     last_activity_at: Instant,
-    /// Calls that are being answered.
     active_requests: usize,
 }
 
-/// Clock of one connection, shared by its socket and its calls.
+/// Activity of one connection, shared by its socket and its requests.
 #[derive(Debug)]
 pub(super) struct ConnectionClock {
     state: Mutex<ConnectionState>,
@@ -36,7 +35,7 @@
     }
 }
 
-/// A call that is being answered.
+/// Marks a request as active until dropped.
 #[derive(Debug)]
 pub(super) struct RequestGuard(Arc<ConnectionClock>);
 
@@ -58,7 +57,7 @@
         *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a call's head has been read.
+    /// Records that a request header has been read.
     pub(super) fn start_request(self: &Arc<Self>) -> RequestGuard {
         self.update(|state| {
             state.active_requests += 1;
@@ -77,14 +76,14 @@
         });
     }
 
-    /// Whether a call's head has begun so long ago and is not there in full.
+    /// Whether a request header is still incomplete `timeout_ms` after its first bytes.
     pub(super) fn is_header_overdue(&self, timeout_ms: u64) -> bool {
         let started_at = self.state().header_started_at;
         started_at
             .is_some_and(|started_at| started_at.elapsed().as_millis() >= u128::from(timeout_ms))
     }
 
-    /// Whether nothing has come or gone for so long.
+    /// Whether the connection has had no activity for `timeout_ms`.
     pub(super) fn is_idle_for(&self, timeout_ms: u64) -> bool {
         let state = self.state();
         state.active_requests == 0
@@ -98,5 +97,5 @@
     }
 }
 
-/// A socket that notes when bytes come in.
+/// A socket that records when bytes arrive.
 pub(super) type TimedSocket = ObservedSocket<Arc<ConnectionClock>>;
--- a/src/adapters/link/duplex.rs
+++ b/src/adapters/link/duplex.rs
@@ -1,12 +1,12 @@
-//! Both directions of a session.
+//! Channels of a session.
 
 use tokio::sync::mpsc;
 
-/// A session as its owner sees it.
+/// Both directions of a session.
 #[derive(Debug)]
 pub(crate) struct FrameDuplex<In, Out> {
-    /// Frames of the other side; ends when the session is lost.
+    /// Frames from the other side. Ends when the session disconnects.
     pub(crate) incoming: mpsc::Receiver<In>,
-    /// Frames to the other side; dropped to close the session and its connection.
+    /// Frames to the other side. Dropping the sender closes the session and its connection.
     pub(crate) outgoing: mpsc::UnboundedSender<Out>,
 }
--- a/src/adapters/link/frame_link.rs
+++ b/src/adapters/link/frame_link.rs
@@ -1,4 +1,4 @@
-//! Opens and takes sessions.
+//! Opens and accepts sessions.
 
 use {
     super::FrameDuplex,
@@ -18,28 +18,23 @@
     },
 };
 
-/// Path of sessions.
 const LINK_PATH: &str = "/link";
-/// Time to connect, in milliseconds.
-///
-/// Guards against seconds without sessions after a power loss for all: an agent that is up before an entry sends its
-/// opening packet to a dark host, and the kernel sends the next one only a second later. A host that is up
-/// answers within a round trip of two to six milliseconds, however busy its processes are.
+/// Shorter than the kernel's SYN retransmission timeout of 1 s: after a power loss, an agent that is up
+/// before the entry's host retries sooner than the kernel would. The kernel of a running host accepts
+/// connections within a round trip of 2 to 6 ms, however busy its processes are.
 const CONNECT_TIMEOUT_MS: u64 = 100;
-/// Time to connect and open a session, in milliseconds: an entry that starts takes 70 of them at the same time.
+/// Time to connect and open a session; a starting entry accepts about 70 sessions at once.
 const OPEN_TIMEOUT_MS: u64 = 500;
-/// Most bytes under way on a session: a burst of starts with specs of 4 KB each.
+/// Flow-control window; holds a burst of starts with specs of 4 KB each.
 const WINDOW_BYTES: u32 = 1 << 20;
-/// Frames held for a slow reader.
 const MAX_BUFFERED_FRAMES: usize = 256;
-/// Pause after an accept that failed, in milliseconds.
 const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
 
 fn unreachable(error: impl ToString) -> PeerError {
     PeerError::Unreachable(error.to_string())
 }
 
-/// Opens a session with the process that listens there.
+/// Opens a session with the process at this address.
 pub(crate) async fn dial_link<In, Out>(
     to: SocketAddr,
     metrics: Arc<dyn Metrics>,
@@ -67,7 +62,7 @@
         TcpStream::connect(to),
     )
     .await
-    .map_err(|_| unreachable("no answer to the opening packet"))?
+    .map_err(|_| unreachable("connect timed out"))?
     .map_err(unreachable)?;
     socket.set_nodelay(true).map_err(unreachable)?;
     let (mut sender, connection) = h2::client::Builder::new()
@@ -85,7 +80,7 @@
     let session = async move {
         match response.await {
             Ok(response) => {
-                // The caller may have given up waiting; the session then ends with its sender.
+                // The caller may have timed out; the session then ends with its sender.
                 let _ = opened.send(Ok(()));
                 pump(response.into_body(), body, channels).await;
             }
@@ -95,7 +90,7 @@
         }
     };
     tokio::spawn(async move {
-        // Dropping the connection closes the socket, also when the other side is silent.
+        // Dropping the connection closes the socket, even if the other side is unresponsive.
         tokio::select! {
             _ = connection => {}
             () = session => {}
@@ -105,7 +100,7 @@
     Ok(duplex)
 }
 
-/// Takes sessions until the task is dropped.
+/// Accepts sessions until the task is dropped.
 pub(crate) async fn serve_links<In, Out>(
     listener: TcpListener,
     opened: mpsc::UnboundedSender<FrameDuplex<In, Out>>,
@@ -121,7 +116,7 @@
                 tokio::spawn(serve_link(socket, opened, metrics));
             }
             Err(error) => {
-                log::warn!(error:% = error; "accepting a session failed");
+                log::warn!(error:% = error; "accepting a link connection failed");
                 sleep(Duration::from_millis(ACCEPT_RETRY_INTERVAL_MS)).await;
             }
         }
@@ -137,7 +132,7 @@
     Out: Serialize + Send + 'static,
 {
     if let Err(error) = accept(socket, opened, metrics).await {
-        log::debug!(error:% = error; "a session could not be taken");
+        log::debug!(error:% = error; "opening a session failed");
     }
 }
 
@@ -173,7 +168,7 @@
         return Ok(());
     }
     tokio::select! {
-        // No second stream is taken; this drives the connection until it closes.
+        // Drives the connection until it closes; a second stream is not accepted.
         _ = connection.accept() => {}
         () = pump(request.into_body(), body, channels) => {}
     }
@@ -200,6 +195,6 @@
     Out: Serialize,
 {
     if let Err(error) = run_session(stream, body, channels).await {
-        log::debug!(error:% = error; "a session broke");
+        log::debug!(error:% = error; "session failed");
     }
 }
--- a/src/adapters/link/tests.rs
+++ b/src/adapters/link/tests.rs
@@ -7,9 +7,8 @@
     tokio::net::{TcpSocket, TcpStream},
 };
 
-/// All hosts lose power, and an agent is up before an entry: its opening packet is lost. It used to wait for the kernel, which
-/// sends the next one after a second, and half the site's workers stood idle meanwhile. Here a full queue
-/// of new connections loses the packet; the attempt ends by itself, to be followed by another.
+/// A lost SYN must fail the dial before the kernel's retransmission after one second. Here a full
+/// accept queue drops the SYN.
 #[tokio::test]
 async fn a_dial_fails_fast_when_its_syn_is_lost() {
     let socket = TcpSocket::new_v4().expect("socket");
@@ -18,12 +17,12 @@
         .expect("bind");
     let listener = socket.listen(1).expect("listen");
     let entry = listener.local_addr().expect("address");
-    // The queue takes one more than its length; nobody accepts.
+    // The accept queue holds one connection more than its length; nobody accepts.
     let first = TcpStream::connect(entry).await.expect("connect");
     let second = TcpStream::connect(entry).await.expect("connect");
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
     let result: Result<FrameDuplex<u32, u32>, PeerError> = dial_link(entry, metrics).await;
     let error = result.expect_err("nobody accepts").to_string();
-    assert!(error.contains("no answer to the opening packet"), "{error}");
+    assert!(error.contains("connect timed out"), "{error}");
     drop((first, second));
 }
--- a/src/adapters/logging/decision_writer.rs
+++ b/src/adapters/logging/decision_writer.rs
@@ -1,4 +1,4 @@
-//! Writes decisions to standard output, as JSON lines within a budget.
+//! Writes decisions to standard output as JSON lines, within a budget.
 
 use {
     super::line_budget::LineBudget,
@@ -15,13 +15,12 @@
     },
 };
 
-/// Lines that wait for a slow reader; some 300 KB.
+/// Lines queued for a slow reader of standard output; about 300 KB.
 const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Takes lines and hands them to a thread that writes them.
+/// Queues lines for a thread that writes them.
 ///
-/// Guards against a reader that is stuck or gone: only that thread waits for it, and lines that
-/// find no place are counted and dropped.
+/// Only that thread blocks on a slow reader; lines that don't fit into the queue are counted and dropped.
 #[derive(Debug)]
 pub(crate) struct DecisionWriter {
     process: String,
@@ -31,7 +30,7 @@
 }
 
 impl DecisionWriter {
-    /// Starts the thread; lines name this process.
+    /// Starts the thread; `process` is a field of every line.
     pub(crate) fn start(process: &str) -> io::Result<Self> {
         let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         thread::Builder::new()
@@ -88,14 +87,14 @@
     }
 }
 
-/// Writes what waits, in one call for all that is there.
+/// Writes all queued lines with one call.
 fn write_lines(queue: &Receiver<String>) {
     let mut output = io::stdout().lock();
     while let Ok(mut text) = queue.recv() {
         while let Ok(line) = queue.try_recv() {
             text.push_str(&line);
         }
-        // Without a reader there is nobody to tell; the lines are lost.
+        // Standard output is closed; the lines are dropped.
         if output.write_all(text.as_bytes()).is_err() || output.flush().is_err() {
             return;
         }
--- a/src/adapters/logging/init.rs
+++ b/src/adapters/logging/init.rs
@@ -1,4 +1,4 @@
-//! Sets the process's logger up.
+//! Setup of the process's logger.
 
 use {
     crate::conf::{LogFormat, LogSettings},
@@ -9,7 +9,7 @@
     },
 };
 
-/// Sends log lines to standard error in the format of the settings.
+/// Writes log messages to standard error in the configured format.
 pub(crate) fn init_logging(settings: &LogSettings) {
     let spec = settings.level.clone();
     let result = logforth::starter_log::builder()
@@ -26,6 +26,6 @@
         })
         .try_apply();
     if let Err(error) = result {
-        eprintln!("logging: {error}");
+        eprintln!("failed to set up logging: {error}");
     }
 }
--- a/src/adapters/logging/line_budget.rs
+++ b/src/adapters/logging/line_budget.rs
@@ -1,17 +1,16 @@
-//! How many lines a process may write.
+//! Rate limit of log lines.
 
 use {crate::ports::LogPriority, std::collections::BTreeMap};
 
-/// Bytes a second: at a peak of 100 jobs a second an entry writes some 40 KB of job lines.
+/// Above the 40 KB/s of job lines that an entry writes at 100 jobs per second.
 const BYTES_PER_S: u64 = 96 * 1_024;
-/// Bytes that may come at once.
 const BURST_BYTES: u64 = 256 * 1_024;
-/// Share of the burst that is kept for notable lines.
+/// Part of the burst that is reserved for notable lines.
 const NOTABLE_RESERVE_BYTES: u64 = BURST_BYTES / 2;
-/// Pause between lines that tell what was dropped, in milliseconds.
+/// Interval between lines that report dropped lines.
 const DROP_REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// A bucket of bytes; routine lines are dropped first.
+/// Token bucket of bytes; routine lines are dropped first.
 #[derive(Debug)]
 pub(super) struct LineBudget {
     bytes: u64,
@@ -32,7 +31,7 @@
 }
 
 impl LineBudget {
-    /// Takes a line's bytes out of the bucket, if they are there for its rank.
+    /// Consumes a line's bytes; false if the bucket has too few for its priority.
     pub(super) fn try_consume(&mut self, now_ms: u64, priority: LogPriority, bytes: usize) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.refilled_at_ms);
         let refill = elapsed_ms * BYTES_PER_S / 1_000;
@@ -52,12 +51,11 @@
         true
     }
 
-    /// Counts a line that was dropped.
     pub(super) fn record_dropped(&mut self, event: &str) {
         *self.dropped.entry(event.to_owned()).or_default() += 1;
     }
 
-    /// What was dropped since this was last told, now and then.
+    /// Returns the dropped lines by event, at most once per interval.
     pub(super) fn drain_dropped(&mut self, now_ms: u64) -> Option<BTreeMap<String, u64>> {
         if self.dropped.is_empty()
             || now_ms.saturating_sub(self.reported_at_ms) < DROP_REPORT_INTERVAL_MS
--- a/src/adapters/logging/mod.rs
+++ b/src/adapters/logging/mod.rs
@@ -1,4 +1,4 @@
-//! Structured logs: program messages through logforth, decisions as JSON lines on standard output.
+//! Structured logs: messages with logforth, decisions as JSON lines on standard output.
 
 mod decision_writer;
 mod init;
--- a/src/adapters/logging/tests.rs
+++ b/src/adapters/logging/tests.rs
@@ -1,9 +1,8 @@
-//! Tests of how many lines are written.
+//! Tests of the rate limit of log lines.
 
 use {super::line_budget::LineBudget, crate::ports::LogPriority};
 
-/// A process is flooded with jobs while one of them fails. On-call engineers look for the line of the
-/// failure and must find it, although most lines of that second were dropped.
+/// A burst of routine lines must not displace the line of a failure.
 #[test]
 fn routine_lines_are_dropped_before_notable_ones() {
     let mut budget = LineBudget::default();
@@ -24,7 +23,7 @@
     let mut budget = LineBudget::default();
     budget.record_dropped("job_taken");
     budget.record_dropped("job_taken");
-    let dropped = budget.drain_dropped(1_000).expect("told");
+    let dropped = budget.drain_dropped(1_000).expect("dropped lines");
     assert_eq!(dropped.get("job_taken"), Some(&2));
     budget.record_dropped("job_taken");
     assert_eq!(budget.drain_dropped(1_500), None);
--- a/src/adapters/metrics/mod.rs
+++ b/src/adapters/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics through opentelemetry, shown as Prometheus text.
+//! Metrics with opentelemetry, rendered as Prometheus text.
 
 mod otel_metrics;
 
--- a/src/adapters/metrics/otel_metrics.rs
+++ b/src/adapters/metrics/otel_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges on opentelemetry's Prometheus exporter.
+//! Metrics on opentelemetry's Prometheus exporter.
 
 use {
     crate::ports::{Counter, Gauge, Histogram, Metrics},
@@ -19,12 +19,12 @@
     counters: BTreeMap<Counter, OtelCounter<u64>>,
     gauges: BTreeMap<Gauge, OtelGauge<u64>>,
     histograms: BTreeMap<Histogram, OtelHistogram<u64>>,
-    // Holds the reader alive that the registry gathers from.
+    // Keeps the reader alive that the registry gathers from.
     _provider: SdkMeterProvider,
 }
 
 impl OtelMetrics {
-    /// Sets up every counter and gauge at zero.
+    /// Registers all instruments.
     pub(crate) fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -86,7 +86,7 @@
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => String::from_utf8_lossy(&text).into_owned(),
-            Err(error) => format!("# metrics can't be shown: {error}\n"),
+            Err(error) => format!("# failed to encode metrics: {error}\n"),
         }
     }
 }
--- a/src/adapters/mod.rs
+++ b/src/adapters/mod.rs
@@ -1,4 +1,4 @@
-//! What stands behind the ports: tokio, h2 with bincode, hyper, poem, opentelemetry, logforth.
+//! Implementations of the ports with tokio, h2, bincode, hyper, poem, opentelemetry and logforth.
 
 pub(crate) mod backend;
 pub(crate) mod http;
--- a/src/adapters/peer/activity.rs
+++ b/src/adapters/peer/activity.rs
@@ -1,4 +1,4 @@
-//! Whether a connection is in use, and whether someone waits for the other end.
+//! Open streams and awaited replies of a connection.
 
 use {
     std::{sync::Arc, time::Duration},
@@ -10,17 +10,17 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct StreamCounts {
-    /// Streams that are open.
+    /// Open streams.
     streams: usize,
-    /// Streams that have been opened.
+    /// Streams opened since the connection was established.
     opened: u64,
-    /// Replies and outcomes that someone waits for.
+    /// Awaited replies and outcomes.
     awaited: usize,
-    /// No further stream may be opened.
+    /// No more streams may be opened.
     closed: bool,
 }
 
-/// Use of one connection, shared by its streams and the task that watches over it.
+/// Activity of one connection, shared by its streams and its liveness check.
 #[derive(Debug)]
 pub(crate) struct ConnectionActivity {
     idle_timeout: Duration,
@@ -28,7 +28,6 @@
 }
 
 impl ConnectionActivity {
-    /// A connection that is closed after being unused for `idle_close`.
     pub(crate) fn new(idle_timeout: Duration) -> Self {
         Self {
             idle_timeout,
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Notes a new stream; `None` if the connection is being closed.
+    /// Counts a stream until the guard is dropped; `None` if the connection is being closed.
     pub(crate) fn open_stream(self: &Arc<Self>) -> Option<OpenStreamGuard> {
         let mut is_open = false;
         self.counts.send_modify(|counts| {
@@ -49,20 +48,20 @@
         is_open.then(|| OpenStreamGuard(Arc::clone(self)))
     }
 
-    /// Notes that someone waits for the other end, until the guard is dropped.
+    /// Counts an awaited reply until the guard is dropped.
     pub(crate) fn await_reply(self: &Arc<Self>) -> AwaitedReplyGuard {
         self.counts.send_modify(|counts| counts.awaited += 1);
         AwaitedReplyGuard(Arc::clone(self))
     }
 
-    /// Resolves with the future's value, or with `None` after the time that closes an idle session.
+    /// Resolves with the future's value, or with `None` after the idle timeout.
     pub(crate) async fn within_idle_timeout<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         timeout(self.idle_timeout, work).await.ok()
     }
 
-    /// Resolves as soon as someone waits for the other end.
+    /// Resolves when a reply is awaited.
     pub(crate) async fn until_reply_awaited(&self) {
-        // The sender is this object, so it can't be gone.
+        // Can't fail: `self` owns the sender.
         let _ = self
             .counts
             .subscribe()
@@ -70,12 +69,11 @@
             .await;
     }
 
-    /// Whether someone waits for the other end.
     pub(crate) fn is_reply_awaited(&self) -> bool {
         self.counts.borrow().awaited > 0
     }
 
-    /// Resolves when the connection has had no stream for a while; none can be opened from then on.
+    /// Resolves when the connection has had no stream for the idle timeout; then no stream can be opened.
     pub(crate) async fn until_idle(&self) {
         let mut counts = self.counts.subscribe();
         loop {
@@ -95,7 +93,7 @@
     }
 }
 
-/// An open stream.
+/// Counts a stream as open until dropped.
 #[derive(Debug)]
 pub(crate) struct OpenStreamGuard(Arc<ConnectionActivity>);
 
@@ -105,7 +103,7 @@
     }
 }
 
-/// A reply that someone waits for.
+/// Counts a reply as awaited until dropped.
 #[derive(Debug)]
 pub(crate) struct AwaitedReplyGuard(Arc<ConnectionActivity>);
 
--- a/src/adapters/peer/awaited_tasks.rs
+++ b/src/adapters/peer/awaited_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of one session whose outcomes its home waits for.
+//! Tasks of one session whose outcomes the home awaits.
 
 use {
     super::activity::{AwaitedReplyGuard, ConnectionActivity, OpenStreamGuard},
@@ -15,19 +15,17 @@
 #[derive(Debug)]
 struct SessionState {
     welcomed: bool,
-    /// Slots asked for and not yet offered.
+    /// Slots demanded and not yet offered.
     demanded: u16,
-    /// Started on this session (`None`), or asked after as started on that epoch.
+    /// Tasks started on this session (`None`) or queried as started in an epoch.
     tasks: BTreeMap<TaskRef, Option<u64>>,
     awaited: Option<AwaitedReplyGuard>,
 }
 
-/// Follows a session's frames and tells its connection whether something is awaited on it.
+/// Tracks a session's frames to determine whether a reply is awaited on its connection.
 ///
-/// Guards against a session that goes silent while its home waits: from the hello to the welcome
-/// from a start or query to the outcome, and from a demand to the
-/// offers the connection counts as awaited, so it is pinged.
-/// A session on which nothing is awaited costs no pings.
+/// A reply is awaited from a hello to the welcome, from a start or query to the outcome and from a
+/// demand to the offers. Only then the connection is pinged to detect an unresponsive runner.
 #[derive(Debug)]
 pub(crate) struct AwaitedTasks {
     activity: Arc<ConnectionActivity>,
@@ -36,7 +34,7 @@
 }
 
 impl AwaitedTasks {
-    /// A session whose hello is about to be sent.
+    /// Starts tracking a session before its hello is sent.
     pub(crate) fn new(activity: Arc<ConnectionActivity>, stream: OpenStreamGuard) -> Self {
         let state = SessionState {
             welcomed: false,
@@ -51,7 +49,6 @@
         }
     }
 
-    /// Follows a frame that is about to be sent.
     pub(crate) fn record_sent(&self, frame: &HomeFrame) {
         let mut state = self.lock();
         match frame {
@@ -68,7 +65,6 @@
         self.update_awaited(&mut state);
     }
 
-    /// Follows a frame that has come.
     pub(crate) fn record_received(&self, frame: &RunnerFrame) {
         let mut state = self.lock();
         match frame {
@@ -80,7 +76,7 @@
             RunnerFrame::Statuses { tasks } => {
                 for report in tasks {
                     let queried = state.tasks.get(&report.task) == Some(&Some(report.epoch));
-                    // A task that was started anew since is awaited whatever became of the first.
+                    // A task that was started again since is still awaited.
                     if queried && !matches!(report.status, TaskStatus::Running) {
                         state.tasks.remove(&report.task);
                     }
@@ -90,12 +86,12 @@
         self.update_awaited(&mut state);
     }
 
-    /// The use of the session's connection.
+    /// Activity of the connection.
     pub(crate) fn activity(&self) -> &ConnectionActivity {
         &self.activity
     }
 
-    /// Whether nothing is awaited.
+    /// Whether no reply is awaited.
     pub(crate) fn is_empty(&self) -> bool {
         self.lock().awaited.is_none()
     }
--- a/src/adapters/peer/codec.rs
+++ b/src/adapters/peer/codec.rs
@@ -1,4 +1,4 @@
-//! Messages as length-prefixed bincode.
+//! Encoding of messages as length-prefixed bincode.
 
 use {
     bytes::{Buf, BufMut, Bytes, BytesMut},
@@ -6,31 +6,31 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Largest message that is read, in bytes; a job of 200 tasks with large inputs fits.
+/// Largest accepted message; a job of 200 tasks with large inputs fits.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 quick_error! {
-    /// A message that can't be read or written.
+    /// Why a message could not be encoded or decoded.
     #[derive(Debug)]
     pub enum CodecError {
-        /// bincode can't encode the value.
+        /// Encoding failed.
         Encode(error: bincode::error::EncodeError) {
             from()
-            display("message can't be encoded: {}", error)
+            display("failed to encode message: {}", error)
         }
-        /// The bytes aren't a message of this type.
+        /// The bytes are not a message of the expected type.
         Decode(error: bincode::error::DecodeError) {
             from()
-            display("message can't be decoded: {}", error)
+            display("failed to decode message: {}", error)
         }
-        /// The length prefix is above the limit.
+        /// The message exceeds the limit or the range of its length prefix.
         TooLarge(bytes: usize) {
-            display("message of {} bytes is above the limit", bytes)
+            display("message of {} bytes exceeds the limit", bytes)
         }
     }
 }
 
-/// Appends a message with its length in front.
+/// Appends a message with its length prefix.
 pub(crate) fn encode_into<M: Serialize>(
     buffer: &mut BytesMut,
     message: &M,
@@ -45,14 +45,14 @@
     Ok(())
 }
 
-/// One message with its length in front.
+/// Encodes a message with its length prefix.
 pub(crate) fn encode<M: Serialize>(message: &M) -> Result<Bytes, CodecError> {
     let mut buffer = BytesMut::new();
     encode_into(&mut buffer, message)?;
     Ok(buffer.freeze())
 }
 
-/// Takes one message off the front of the buffer, if it is there in full.
+/// Removes the first message from the buffer; `None` if it is incomplete.
 pub(crate) fn decode_from<M: DeserializeOwned>(
     buffer: &mut BytesMut,
 ) -> Result<Option<M>, CodecError> {
--- a/src/adapters/peer/counted_socket.rs
+++ b/src/adapters/peer/counted_socket.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of control and work that pass a peer connection.
+//! Counts the bytes and writes of a peer connection.
 
 use {
     crate::{
@@ -12,21 +12,20 @@
     tokio::net::TcpStream,
 };
 
-/// A socket that counts its payload bytes and its writes; the headers of TCP and IP are not seen here.
+/// A socket that counts payload bytes and writes, without TCP and IP headers.
 pub(crate) type CountedSocket = ObservedSocket<ByteCounter>;
 
-/// Bytes that have come in on a connection.
+/// Number of bytes received on a connection.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ReceivedBytes(Arc<AtomicU64>);
 
 impl ReceivedBytes {
-    /// How many so far.
     pub(crate) fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Counts for this process's metrics and for the watch over the connection.
+/// Counts for the metrics and for the connection's liveness check.
 #[derive(Debug)]
 pub(crate) struct ByteCounter {
     metrics: Arc<dyn Metrics>,
@@ -34,7 +33,6 @@
 }
 
 impl ByteCounter {
-    /// The bytes that have come in.
     pub(crate) fn received(&self) -> ReceivedBytes {
         self.received.clone()
     }
@@ -53,7 +51,7 @@
     }
 }
 
-/// Counts what passes a connection between two of the system's processes.
+/// Wraps a connection between entries and agents to count its bytes.
 pub(crate) fn with_byte_counter(socket: TcpStream, metrics: Arc<dyn Metrics>) -> CountedSocket {
     let received = ReceivedBytes::default();
     ObservedSocket::new(socket, ByteCounter { metrics, received })
--- a/src/adapters/peer/frame_pump.rs
+++ b/src/adapters/peer/frame_pump.rs
@@ -1,4 +1,4 @@
-//! Moves frames between a session's channels and its h2 stream.
+//! Transfers frames between a session's channels and its h2 stream.
 
 use {
     super::{
@@ -11,16 +11,16 @@
     tokio::sync::mpsc,
 };
 
-/// The inner ends of a session's channels.
+/// The connection's ends of a session's channels.
 #[derive(Debug)]
 pub(crate) struct SessionChannels<In, Out> {
-    /// Frames to send; the session ends with their last sender.
+    /// Frames to send. The session ends when all senders are dropped.
     pub(crate) outgoing: mpsc::UnboundedReceiver<Out>,
-    /// Where received frames go; the session ends with their reader.
+    /// Received frames. The session ends when the receiver is dropped.
     pub(crate) received: mpsc::Sender<In>,
 }
 
-/// Moves frames both ways until either side ends or the stream breaks.
+/// Transfers frames in both directions until either side ends or the stream fails.
 pub(crate) async fn run_session<In, Out>(
     stream: RecvStream,
     mut body: SendStream<Bytes>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Frames that wait are sent together.
+/// Sends queued frames in one batch.
 async fn send_frames<Out: Serialize>(
     body: &mut SendStream<Bytes>,
     outgoing: &mut mpsc::UnboundedReceiver<Out>,
--- a/src/adapters/peer/frame_stream.rs
+++ b/src/adapters/peer/frame_stream.rs
@@ -1,4 +1,4 @@
-//! Reading and writing messages on one h2 stream.
+//! Reads and writes messages on an h2 stream.
 
 use {
     super::codec::{CodecError, decode_from},
@@ -10,27 +10,27 @@
 };
 
 quick_error! {
-    /// Why a stream gave no further message.
+    /// Why reading or writing a message failed.
     #[derive(Debug)]
     pub enum StreamError {
-        /// The stream or its connection broke.
+        /// The stream or its connection failed.
         H2(error: h2::Error) {
             from()
             display("{}", error)
         }
-        /// A message can't be read or written.
+        /// A message could not be encoded or decoded.
         Codec(error: CodecError) {
             from()
             display("{}", error)
         }
-        /// The other side has ended the stream.
+        /// The other side closed the stream.
         Ended {
-            display("the stream has ended")
+            display("stream closed by the peer")
         }
     }
 }
 
-/// Messages of one type, read from one stream.
+/// Reads messages of one type from a stream.
 #[derive(Debug)]
 pub(crate) struct FrameReader<M> {
     stream: RecvStream,
@@ -39,7 +39,6 @@
 }
 
 impl<M: DeserializeOwned> FrameReader<M> {
-    /// Reads from this stream.
     pub(crate) fn new(stream: RecvStream) -> Self {
         Self {
             stream,
@@ -48,7 +47,7 @@
         }
     }
 
-    /// The next message.
+    /// Waits for the next message.
     pub(crate) async fn next(&mut self) -> Result<M, StreamError> {
         loop {
             if let Some(message) = decode_from(&mut self.buffer)? {
@@ -64,7 +63,7 @@
     }
 }
 
-/// Sends all the bytes, as the receiver's window allows.
+/// Sends all bytes, subject to the receiver's flow-control window.
 pub(crate) async fn send_all(
     stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
--- a/src/adapters/peer/h2_client.rs
+++ b/src/adapters/peer/h2_client.rs
@@ -1,4 +1,4 @@
-//! The calling side: one connection for each address.
+//! h2 client with one connection per address.
 
 use {
     super::{
@@ -28,22 +28,17 @@
     },
 };
 
-/// Path of calls.
 pub(crate) const CALL_PATH: &str = "/call";
-/// Path of sessions.
 pub(crate) const SESSION_PATH: &str = "/session";
-/// Most bytes under way on one stream. The receiver reports its progress after each half of it, which must happen within
-/// the silence that ends a connection.
+/// Flow-control window of a stream. The receiver sends a window update after each half of it, which
+/// must take less than the pong timeout on a slow link.
 pub(crate) const STREAM_WINDOW_BYTES: u32 = 1 << 20;
-/// Most bytes under way on one connection.
+/// Flow-control window of a connection.
 pub(crate) const CONNECTION_WINDOW_BYTES: u32 = 64 << 20;
-/// Most streams open on one connection.
 pub(crate) const MAX_STREAMS: u32 = 100_000;
-/// Time to connect, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 500;
-/// Time after which an idle session ends and an unused connection closes, in milliseconds.
+/// Time after which an idle session or connection is closed.
 const IDLE_TIMEOUT_MS: u64 = 10_000;
-/// Frames held for a slow reader of a session.
 const MAX_BUFFERED_FRAMES: usize = 1_024;
 
 type Slot = Arc<Mutex<Option<Connection>>>;
@@ -55,7 +50,7 @@
     activity: Arc<ConnectionActivity>,
 }
 
-/// A stream just opened on a connection.
+/// A newly opened stream.
 struct Stream {
     response: h2::client::ResponseFuture,
     body: SendStream<Bytes>,
@@ -63,7 +58,7 @@
     open: OpenStreamGuard,
 }
 
-/// Peers over h2.
+/// Calls peers over h2.
 #[derive(Debug)]
 pub(crate) struct H2Client {
     connections: Mutex<BTreeMap<SocketAddr, Slot>>,
@@ -72,12 +67,11 @@
 }
 
 impl H2Client {
-    /// A client without connections.
     pub(crate) fn new(metrics: Arc<dyn Metrics>) -> Self {
         Self::with_idle_timeout(metrics, Duration::from_millis(IDLE_TIMEOUT_MS))
     }
 
-    /// A client that closes sessions and connections after being idle for `idle_close`.
+    /// Creates a client that closes sessions and connections after `idle_timeout`.
     pub(super) fn with_idle_timeout(metrics: Arc<dyn Metrics>, idle_timeout: Duration) -> Self {
         Self {
             idle_timeout,
@@ -86,7 +80,7 @@
         }
     }
 
-    /// The connection to an address, opened if there is none that works.
+    /// Returns the connection to an address, or opens one if there is no usable one.
     async fn connection(&self, to: SocketAddr) -> Result<(Connection, OpenStreamGuard), PeerError> {
         let slot = Arc::clone(self.connections.lock().await.entry(to).or_default());
         let mut slot = slot.lock().await;
@@ -172,7 +166,7 @@
 }
 
 impl Connection {
-    /// The connection once it takes another stream.
+    /// Waits until the connection can open another stream.
     async fn ready(self) -> Result<Self, h2::Error> {
         Ok(Self {
             sender: self.sender.ready().await?,
@@ -221,9 +215,9 @@
     }
 }
 
-/// Writes frames until the session is dropped or idle; frames that wait are sent together.
+/// Writes frames in batches until the session is dropped or idle.
 ///
-/// An idle session ends as if it were lost, and is opened anew when its home needs it again.
+/// To the home an idle session looks disconnected; it opens a new one when needed.
 async fn write_frames(
     mut stream: SendStream<Bytes>,
     mut frames: mpsc::UnboundedReceiver<HomeFrame>,
@@ -247,7 +241,7 @@
             return;
         }
     }
-    // A stream that broke needs no end.
+    // Fails only if the stream is already broken.
     let _ = stream.send_data(Bytes::new(), true);
 }
 
--- a/src/adapters/peer/h2_server.rs
+++ b/src/adapters/peer/h2_server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! h2 server for calls and sessions.
 
 use {
     super::{
@@ -26,26 +26,24 @@
     },
 };
 
-/// A session as its runner sees it.
+/// Both directions of an open session, on the runner's side.
 #[derive(Debug)]
 pub(crate) struct RunnerSession {
-    /// Frames from the home; ends when the session is lost.
+    /// Frames from the home. Ends when the session disconnects.
     pub(crate) incoming: mpsc::Receiver<HomeFrame>,
-    /// Frames to the home; dropped to close the session.
+    /// Frames to the home. Dropping the sender closes the session.
     pub(crate) outgoing: mpsc::UnboundedSender<RunnerFrame>,
 }
 
-/// What a process does with its peers' requests.
+/// Handles the calls and sessions of peers.
 #[async_trait]
 pub(crate) trait PeerHandler: Debug + Send + Sync {
-    /// Answers one call.
     async fn handle_call(&self, request: PeerRequest) -> PeerReply;
 
-    /// Takes a session; `false` if this process has no runner.
+    /// Accepts a session; false if this process has no runner.
     fn accept_session(&self, session: RunnerSession) -> bool;
 }
 
-/// Frames held for a slow reader of a session.
 const MAX_BUFFERED_FRAMES: usize = 1_024;
 
 /// Serves peers until the task is dropped.
@@ -61,7 +59,7 @@
                 tokio::spawn(serve_connection(socket, handler, metrics));
             }
             Err(error) => {
-                log::warn!(error:? = error; "accepting a peer failed");
+                log::warn!(error:? = error; "accepting a peer connection failed");
                 tokio::task::yield_now().await;
             }
         }
@@ -106,7 +104,7 @@
     mut respond: SendResponse<Bytes>,
     handler: Arc<dyn PeerHandler>,
 ) {
-    // A stream that breaks has no one left to tell.
+    // If the stream failed, the error cannot be reported to the peer.
     let _ = match request.uri().path() {
         CALL_PATH => serve_call(request.into_body(), respond, handler).await,
         SESSION_PATH => serve_session(request.into_body(), respond, handler).await,
--- a/src/adapters/peer/liveness.rs
+++ b/src/adapters/peer/liveness.rs
@@ -1,4 +1,4 @@
-//! Finds connections that went silent.
+//! Detection of unresponsive connections with pings.
 
 use {
     super::{activity::ConnectionActivity, counted_socket::ReceivedBytes},
@@ -7,22 +7,20 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Pause between pings, in milliseconds.
+/// Ping interval while a reply is awaited.
 const PING_INTERVAL_MS: u64 = 200;
-/// Pause between pings of the side that waits for nothing, in milliseconds.
+/// Ping interval of the server, which awaits no replies.
 const IDLE_PING_INTERVAL_MS: u64 = 30_000;
-/// Silence after a ping that ends the connection, in milliseconds.
+/// Time without received bytes after a ping until the connection counts as unresponsive.
 const PONG_TIMEOUT_MS: u64 = 500;
 
-/// Pings until the other side stays silent or the connection breaks.
+/// Pings while a reply is awaited; returns the cause when the peer is unresponsive or the connection fails.
 ///
-/// Guards against connections that something between the two ends has lost track of: bytes are
-/// swallowed, nothing is closed, and a caller would wait until its deadline. A missed pong ends
-/// the connection, so every call and session on it fails at once and goes to a new one. A pong may
-/// wait behind a large message on a narrow link: whatever else comes meanwhile counts as well.
+/// Detects connections that drop packets without being closed, for example after a firewall lost their
+/// state, so that calls and sessions fail before their deadline. Since a pong may be queued behind a
+/// large message on a slow link, any received byte counts as a sign of life.
 ///
-/// Only what is awaited is watched closely: at the planned size a process has thousands of
-/// connections, and pings on idle ones alone would be many times the budget of control.
+/// No pings are sent while no reply is awaited: a process may have thousands of idle connections.
 pub(crate) async fn until_unresponsive(
     mut pings: PingPong,
     activity: &ConnectionActivity,
@@ -40,9 +38,9 @@
     }
 }
 
-/// Pings now and then until the other side stays silent or the connection breaks.
+/// Pings at long intervals; returns the cause when the caller is unresponsive or the connection fails.
 ///
-/// Guards against callers that vanish without closing: their connections would be kept for good.
+/// Closes the connections of callers that disappeared without closing them.
 pub(crate) async fn until_caller_unresponsive(
     mut pings: PingPong,
     received: &ReceivedBytes,
@@ -55,7 +53,7 @@
     }
 }
 
-/// Why the connection is lost, if nothing comes in time.
+/// Pings once; returns the cause if the connection failed or nothing was received in time.
 async fn ping(pings: &mut PingPong, received: &ReceivedBytes) -> Option<&'static str> {
     let mut pong = pin!(pings.ping(Ping::opaque()));
     loop {
--- a/src/adapters/peer/mod.rs
+++ b/src/adapters/peer/mod.rs
@@ -1,4 +1,4 @@
-//! h2 streams with bincode between the system's own processes.
+//! Calls and sessions between entries and agents: h2 streams with bincode messages.
 
 mod activity;
 mod awaited_tasks;
--- a/src/adapters/peer/tests.rs
+++ b/src/adapters/peer/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as awaited on a connection, and what a silent or idle one does to its session.
+//! Tests of awaited replies, liveness checks and idle timeouts.
 
 use {
     super::{
@@ -34,7 +34,7 @@
     },
 };
 
-/// Generous: a loaded machine must not change a verdict.
+/// Long enough for a loaded machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn task(index: u16) -> TaskRef {
@@ -114,7 +114,7 @@
 
 use Step::{Received, Sent};
 
-/// Each case: the frames of one session, and whether something is awaited after them.
+/// Each case lists the frames of a session and whether a reply is awaited after them.
 macro_rules! awaited_after {
     ($($name:ident: [$($step:expr),*] => $expected:expr;)*) => {$(
         #[test]
@@ -132,7 +132,7 @@
             assert_eq!(!awaited.is_empty(), $expected);
             assert_eq!(activity.is_reply_awaited(), $expected);
             drop(awaited);
-            assert!(!activity.is_reply_awaited(), "a session that is gone awaits nothing");
+            assert!(!activity.is_reply_awaited(), "a dropped session awaits nothing");
         }
     )*};
 }
@@ -165,7 +165,7 @@
         ] => true;
 }
 
-/// A runner that welcomes its session and then never says anything.
+/// A runner that sends nothing after the welcome.
 #[derive(Debug, Default)]
 struct UnresponsiveRunner {
     sessions: Mutex<Vec<RunnerSession>>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// A mute runner behind a relay that swallows everything, without closing, once told to.
+/// An unresponsive runner behind a relay that can be told to drop all traffic without closing.
 async fn unresponsive_runner_behind_relay(
     metrics: &Arc<OtelMetrics>,
 ) -> (SocketAddr, watch::Sender<bool>) {
@@ -209,8 +209,7 @@
     (relay_addr, blackhole)
 }
 
-/// A home has a task at a runner when a firewall forgets their connection: nothing is closed and
-/// nothing comes. The client would wait until its deadline; the pings end the session instead.
+/// A connection that drops all packets must end the session before the task's deadline.
 #[tokio::test]
 async fn an_unresponsive_session_with_a_running_task_ends() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
@@ -227,8 +226,6 @@
     assert_eq!(ended, Ok(None), "the session ends");
 }
 
-/// Thousands of idle sessions would cost a host many times its budget of control, so one that
-/// has been idle for a while ends, and the next task gets a new one.
 #[tokio::test]
 async fn an_idle_session_ends_and_a_new_one_opens() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
@@ -248,10 +245,10 @@
     }
 }
 
-/// Length of a document or a task's input that takes two seconds on a link of 25 Mbit/s.
+/// Takes two seconds at 25 Mbit/s, which is longer than the pong timeout.
 const LARGE_BYTES: usize = 6 << 20;
 
-/// A peer that answers with a large document, and takes sessions.
+/// A peer that replies with a large document and accepts sessions.
 #[derive(Debug, Default)]
 struct LargeReplyPeer(UnresponsiveRunner);
 
@@ -266,7 +263,6 @@
     }
 }
 
-/// Passes bytes on at 25 Mbit/s.
 async fn relay_at_25_mbit(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(bytes @ 1..) = from.read(&mut buffer).await {
@@ -277,7 +273,6 @@
     }
 }
 
-/// A large peer behind a narrow link.
 async fn peer_behind_slow_link(metrics: &Arc<OtelMetrics>) -> SocketAddr {
     let peer = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let peer_addr = peer.local_addr().expect("address");
@@ -301,7 +296,7 @@
     link_addr
 }
 
-/// Guards against a connection that is taken as silent because a large answer goes before its pongs.
+/// Pongs that are queued behind a large reply must not end the connection.
 #[tokio::test]
 async fn a_large_reply_over_a_slow_link_keeps_its_connection() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
@@ -314,7 +309,7 @@
     assert_eq!(text.len(), LARGE_BYTES);
 }
 
-/// Guards against a connection that is taken as silent because a task's large input goes before its pings.
+/// Pings that are queued behind a large input must not end the session.
 #[tokio::test]
 async fn a_large_input_over_a_slow_link_keeps_its_session() {
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
--- a/src/adapters/platform/budgeted_store.rs
+++ b/src/adapters/platform/budgeted_store.rs
@@ -1,4 +1,4 @@
-//! The platform's service within this entry's budget.
+//! Limits the calls to the platform's store to this entry's budget.
 
 use {
     crate::{
@@ -12,7 +12,7 @@
     std::sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Refuses calls that are over the budget; nothing is sent then, so that is what the error says.
+/// Rejects calls above the budget as unavailable, without sending them.
 #[derive(Debug)]
 pub(crate) struct BudgetedStore<S> {
     pub(crate) store: Arc<S>,
--- a/src/adapters/platform/http_store.rs
+++ b/src/adapters/platform/http_store.rs
@@ -1,4 +1,4 @@
-//! The platform's service as an HTTP client sees it.
+//! HTTP client of the platform's table and object store.
 
 use {
     crate::{
@@ -30,7 +30,7 @@
 }
 
 impl HttpStore {
-    /// A client of the platform at `addr`; a call is given up when nothing of its answer has come for `timeout_ms`.
+    /// Creates a client; a call fails if no part of its response arrives for `timeout_ms`.
     pub(crate) fn new(addr: SocketAddr, timeout_ms: u64, metrics: Arc<dyn Metrics>) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
@@ -70,12 +70,14 @@
         let body = read_body_with_idle_timeout(response.into_body(), self.timeout_ms).await;
         let body = body.map_err(StoreError::OutcomeUnknown)?;
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(StoreError::Unavailable("the platform is down".to_owned()));
+            return Err(StoreError::Unavailable(
+                "the platform returned status 503".to_owned(),
+            ));
         }
         Ok((status, body))
     }
 
-    /// Sends a call and counts how it went.
+    /// Sends a call and counts its outcome.
     async fn send_counted(
         &self,
         method: Method,
@@ -95,7 +97,7 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("unreadable reply: {error}")))
+        .map_err(|error| StoreError::OutcomeUnknown(format!("invalid response body: {error}")))
 }
 
 fn unexpected(status: StatusCode) -> StoreError {
--- a/src/adapters/platform/tests.rs
+++ b/src/adapters/platform/tests.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// Guards against a document that is given up while it arrives.
+/// The timeout of a call must not limit the total time of a response that keeps arriving.
 #[tokio::test]
 async fn a_slowly_arriving_object_is_not_timed_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
@@ -28,6 +28,6 @@
     });
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
     let store = HttpStore::new(addr, 600, metrics);
-    let text = store.get_object("document").await.expect("an answer");
+    let text = store.get_object("document").await.expect("response");
     assert_eq!(text, Some("x".repeat(8_000)));
 }
--- a/src/adapters/socket/mod.rs
+++ b/src/adapters/socket/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets that let someone watch what passes.
+//! Sockets with an observer of their reads and writes.
 
 mod observed_socket;
 
--- a/src/adapters/socket/observed_socket.rs
+++ b/src/adapters/socket/observed_socket.rs
@@ -1,4 +1,4 @@
-//! A socket with an observer of its reads and writes.
+//! TCP socket with an observer of its reads and writes.
 
 use {
     std::{
@@ -13,21 +13,21 @@
     },
 };
 
-/// Sees what passes a socket, and may forbid writes.
+/// Observes the reads and writes of a socket; can reject writes.
 pub(crate) trait SocketObserver: Debug + Send + Sync + Unpin {
-    /// Bytes came in.
+    /// Called after each read.
     fn on_read(&self, _bytes: usize) {}
 
-    /// Bytes are about to be written; an error fails the write before any byte of it goes out.
+    /// Called before each write; an error fails the write before any byte is sent.
     fn before_write(&self) -> io::Result<()> {
         Ok(())
     }
 
-    /// Bytes went out in one system call.
+    /// Called after each system call that wrote bytes.
     fn on_written(&self, _bytes: usize) {}
 }
 
-/// Passes bytes both ways and tells its observer.
+/// Forwards reads and writes and notifies its observer.
 #[derive(Debug)]
 pub(crate) struct ObservedSocket<O> {
     socket: TcpStream,
@@ -35,12 +35,10 @@
 }
 
 impl<O: SocketObserver> ObservedSocket<O> {
-    /// A socket watched by this observer.
     pub(crate) const fn new(socket: TcpStream, observer: O) -> Self {
         Self { socket, observer }
     }
 
-    /// The observer.
     pub(crate) const fn observer(&self) -> &O {
         &self.observer
     }
--- a/src/adapters/timer/backoff.rs
+++ b/src/adapters/timer/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses between tries at something that is away.
+//! Exponential backoff.
 
 use {std::time::Duration, tokio::time::sleep};
 
-/// Least and most of a pause, in hundredths: processes that lost something together don't return together.
+/// Range of the random factor of a delay; spreads the retries of processes that failed at the same time.
 const JITTER_PERCENT: (u64, u64) = (75, 125);
 
-/// Pauses that double from the first to the last until a try succeeds.
+/// Delays that double after each failure, up to a maximum.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Backoff {
     initial_ms: u64,
@@ -14,7 +14,6 @@
 }
 
 impl Backoff {
-    /// Begins with the first pause.
     pub(crate) const fn new(initial_ms: u64, max_ms: u64) -> Self {
         Self {
             initial_ms,
@@ -23,12 +22,12 @@
         }
     }
 
-    /// Notes that a try has succeeded.
+    /// Returns to the initial delay after a success.
     pub(crate) const fn reset(&mut self) {
         self.next_ms = self.initial_ms;
     }
 
-    /// Waits before the next try.
+    /// Waits before the next attempt.
     pub(crate) async fn wait(&mut self) {
         let (min, max) = JITTER_PERCENT;
         let jitter = rand::random_range(min..=max);
--- a/src/adapters/timer/boot_timer.rs
+++ b/src/adapters/timer/boot_timer.rs
@@ -1,4 +1,4 @@
-//! A clock that goes on while the host is suspended.
+//! Clock that includes the time while the host is suspended.
 
 use {
     super::tokio_timer::tick_every,
@@ -7,10 +7,10 @@
     tokio::sync::mpsc,
 };
 
-/// Time since the host was started, its suspensions included.
+/// Time since boot, including suspensions.
 ///
-/// Guards against rights that outlive a suspension: a clock that stands still meanwhile would let a
-/// process start a task when it wakes, although others took its rights as lapsed long ago.
+/// With a clock that stops during a suspension, a process could start a task under a lease that other
+/// processes already regard as expired.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BootTimer;
 
--- a/src/adapters/timer/mod.rs
+++ b/src/adapters/timer/mod.rs
@@ -1,4 +1,4 @@
-//! The timer service on tokio.
+//! Clocks, ticks and backoff on tokio.
 
 mod backoff;
 mod boot_timer;
--- a/src/adapters/timer/tokio_timer.rs
+++ b/src/adapters/timer/tokio_timer.rs
@@ -1,4 +1,4 @@
-//! Ticks from tokio's clock.
+//! Monotonic clock with tokio's ticks.
 
 use {
     crate::{core::time::Instant, ports::TimerService},
@@ -6,14 +6,13 @@
     tokio::{sync::mpsc, time::MissedTickBehavior},
 };
 
-/// The process's clock, counted from when it was made.
+/// Monotonic time since the timer was created.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TokioTimer {
     origin: std::time::Instant,
 }
 
 impl TokioTimer {
-    /// A clock that starts now.
     pub(crate) fn new() -> Self {
         Self {
             origin: std::time::Instant::now(),
@@ -32,7 +31,7 @@
     }
 }
 
-/// Ticks with the timer's time every `period_ms` until the receiver is dropped.
+/// Sends the timer's time every `period_ms` until the receiver is dropped.
 pub(super) fn tick_every(
     timer: impl TimerService + 'static,
     period_ms: u64,
--- a/src/ports/backend_server.rs
+++ b/src/ports/backend_server.rs
@@ -1,4 +1,4 @@
-//! The backend server beside an agent.
+//! Client of the backend server on the agent's host.
 
 use {
     crate::core::{
@@ -9,12 +9,12 @@
     std::fmt::Debug,
 };
 
-/// Runs tasks, one request each.
+/// Runs each task as one request to the backend server.
 #[async_trait]
 pub(crate) trait BackendServer: Debug + Send + Sync {
-    /// Runs a task to its end and says truthfully whether it may have run.
+    /// Runs a task and returns its outcome, "not run" only if it is certain that the task did not run.
     async fn run(&self, start: StartFrame) -> TaskOutcome;
 
-    /// Asks for a running task to be stopped; it may go on all the same.
+    /// Requests that a running task be stopped; the backend server may ignore it.
     async fn stop(&self, task: TaskRef);
 }
--- a/src/ports/decision_log.rs
+++ b/src/ports/decision_log.rs
@@ -1,26 +1,26 @@
-//! Where decisions are written down.
+//! Log of decisions as JSON lines.
 
 use {serde::Serialize, std::fmt::Debug};
 
-/// How soon a line may be dropped when there are too many.
+/// Determines which lines are dropped first when the log exceeds its budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LogPriority {
-    /// The usual course of things.
+    /// Normal operation.
     Routine,
-    /// Something failed, or the process believes something else from now on.
+    /// A failure or a change of state.
     Notable,
 }
 
-/// Takes lines in without ever waiting.
+/// Accepts log lines without blocking.
 pub(crate) trait DecisionLog: Debug + Send + Sync {
-    /// Takes the fields of one line, a JSON object.
+    /// Queues one line; `fields` is a JSON object.
     fn write(&self, priority: LogPriority, fields: serde_json::Value);
 }
 
-/// Writes a decision down.
+/// Serializes an event and writes it to the log.
 pub(crate) fn log_decision<E: Serialize>(log: &dyn DecisionLog, priority: LogPriority, event: &E) {
     match serde_json::to_value(event) {
         Ok(fields) => log.write(priority, fields),
-        Err(error) => log::warn!(error:% = error; "a decision can't be written down"),
+        Err(error) => log::warn!(error:% = error; "failed to serialize a log event"),
     }
 }
--- a/src/ports/feed_cursor.rs
+++ b/src/ports/feed_cursor.rs
@@ -1,20 +1,20 @@
-//! Where a reader of a feed goes on.
+//! Read position in a change feed.
 
 use std::collections::VecDeque;
 
-/// The version after which changes are asked for, some answers behind the newest that was told.
+/// Version after which changes are requested; trails the newest reported version by `lag` responses.
 ///
-/// Guards against a change that a feed leaves out of an answer that tells a later version: a later answer has it.
+/// A feed may omit a change from a response that reports a later version and deliver it in a later response.
 #[derive(Debug)]
 pub(crate) struct FeedCursor {
     after: u64,
     lag: usize,
-    /// Versions of the newest answers.
+    /// Versions of the last responses, oldest first.
     recent_versions: VecDeque<u64>,
 }
 
 impl FeedCursor {
-    /// Goes on from a version up to which everything was read, so many answers behind.
+    /// Starts at a version up to which everything has been read.
     pub(crate) const fn new(version: u64, lag: usize) -> Self {
         Self {
             after: version,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The version after which changes are to be asked for.
+    /// Version after which the next request asks for changes.
     pub(crate) const fn after(&self) -> u64 {
         self.after
     }
 
-    /// Takes in an answer that tells of no change up to a version.
+    /// Records a response that covers all changes up to a version.
     pub(crate) fn advance(&mut self, version: u64) {
         self.recent_versions.push_back(version);
         if self.recent_versions.len() > self.lag
--- a/src/ports/metrics.rs
+++ b/src/ports/metrics.rs
@@ -1,70 +1,69 @@
-//! Counters and gauges.
+//! Counters, gauges and histograms.
 
 use {crate::core::verdict::reasons, std::fmt::Debug};
 
 reasons! {
-    /// Something counted, split by reason.
+    /// Counters, each with a reason label.
     Counter {
-        /// Requests refused as "not run", by reason.
+        /// Rejected requests (`not-run`), by reason.
         Refusals => "rattanslip.refusals",
-        /// Tasks handed to another runner or anew, by the reason of the first try's end.
+        /// Retries, by the reason why the previous attempt failed.
         Retries => "rattanslip.retries",
-        /// Jobs ended at their home, by verdict reason.
+        /// Finished jobs at their home, by verdict reason.
         Jobs => "rattanslip.jobs",
-        /// Runners that a home leaves alone, by reason.
+        /// Runners that a home ejects, by reason.
         Ejections => "rattanslip.ejections",
-        /// Messages between homes and runners that served no start, by kind.
+        /// Messages between homes and runners that did not lead to a start, by kind.
         WastedMessages => "rattanslip.wasted_messages",
-        /// Tasks handed to the backend server.
+        /// Tasks sent to the backend server.
         Starts => "rattanslip.starts",
-        /// Answers given to clients, by verdict.
+        /// Responses to clients, by verdict.
         Answers => "rattanslip.answers",
         /// Calls to the platform's store, by kind and outcome.
         StoreCalls => "rattanslip.store_calls",
         /// Digests sent to other entries, by outcome.
         Digests => "rattanslip.digests",
-        /// Agents told that their zone was taken out or in, by outcome.
+        /// Notifications to agents that their zone was evacuated or opened, by outcome.
         GateNotices => "rattanslip.gate_notices",
         /// Changes of the configuration, by outcome.
         ConfigChanges => "rattanslip.config_changes",
         /// Announcements, by outcome.
         Announcements => "rattanslip.announcements",
-        /// Connections and sessions to peers that were lost, by cause.
+        /// Closed connections and sessions to peers, by cause.
         PeerLosses => "rattanslip.peer_losses",
-        /// Bytes of the operators' document, by what was done with it.
+        /// Bytes of the operators' document, by operation.
         DocumentBytes => "rattanslip.document_bytes",
         /// Payload bytes on connections to peers, by direction.
         PeerBytes => "rattanslip.peer_bytes",
-        /// Writes to connections to peers; each is about one segment.
+        /// Writes to connections to peers; each is about one TCP segment.
         PeerWrites => "rattanslip.peer_writes",
     }
 }
 
 reasons! {
-    /// Something with a present value.
     Gauge {
-        /// Version of the configuration held.
+        /// Version of the configuration in use.
         ConfigVersion => "rattanslip.config_version",
-        /// Agents known to be alive.
+        /// Live agents.
         AgentsAlive => "rattanslip.agents_alive",
-        /// Jobs that have not ended at this home.
+        /// Unfinished jobs at this home.
         JobsRunning => "rattanslip.jobs_running",
-        /// Tasks that run at this runner.
+        /// Running tasks at this runner.
         TasksRunning => "rattanslip.tasks_running",
     }
 }
 
 reasons! {
-    /// A time that is measured again and again, in milliseconds.
+    /// Distributions of durations, in milliseconds.
     Histogram {
-        /// From a job's arrival to its answer, by the answer.
+        /// Time from a job's arrival to its outcome, by outcome.
         JobTook => "rattanslip.job_took_ms",
-        /// From a job's arrival until its last task was ordered, by the answer.
+        /// Time from a job's arrival until its last task was dispatched, by outcome.
         JobWaited => "rattanslip.job_waited_ms",
     }
 }
 
-/// Takes in counts and shows them.
+/// Records and renders metrics.
 pub(crate) trait Metrics: Debug + Send + Sync {
     /// Adds one to a counter under a reason.
     fn count(&self, counter: Counter, reason: &'static str) {
@@ -74,12 +73,11 @@
     /// Adds an amount to a counter under a reason.
     fn add(&self, counter: Counter, reason: &'static str, amount: u64);
 
-    /// Sets a gauge.
     fn set(&self, gauge: Gauge, value: u64);
 
-    /// Takes in a time that was measured.
+    /// Records a duration under a reason.
     fn observe(&self, histogram: Histogram, reason: &'static str, elapsed_ms: u64);
 
-    /// All values in Prometheus's text format.
+    /// Returns all values in the Prometheus text format.
     fn render(&self) -> String;
 }
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! The borders: traits behind which the network, the platform, time and metrics stand.
+//! Traits that separate the core from the network, the platform, clocks and metrics.
 
 mod backend_server;
 mod decision_log;
--- a/src/ports/peer_network.rs
+++ b/src/ports/peer_network.rs
@@ -1,4 +1,4 @@
-//! Calls and sessions between the system's own processes.
+//! Calls and sessions between entries and agents.
 
 use {
     crate::core::{
@@ -12,30 +12,30 @@
 };
 
 quick_error! {
-    /// Why a peer gave no reply.
+    /// Why a call to a peer failed.
     #[derive(Debug, PartialEq, Eq)]
     pub enum PeerError {
-        /// No connection: the request was not sent.
+        /// There is no connection; the request was not sent.
         Unreachable(detail: String) {
-            display("peer unreachable, nothing was sent: {}", detail)
+            display("peer unreachable, request not sent: {}", detail)
         }
-        /// The connection broke or went silent after the request was sent.
+        /// The connection failed or timed out after the request was sent.
         OutcomeUnknown(detail: String) {
-            display("peer lost, the request may have arrived: {}", detail)
+            display("connection to the peer lost, it may have received the request: {}", detail)
         }
     }
 }
 
-/// The two directions of an open session, seen from the home.
+/// Both directions of an open session, on the home's side.
 #[derive(Debug)]
 pub(crate) struct SessionIo {
-    /// Frames to the runner; dropped to close the session.
+    /// Frames to the runner. Dropping the sender closes the session.
     pub(crate) outgoing: mpsc::UnboundedSender<HomeFrame>,
-    /// Frames from the runner; ends when the session is lost.
+    /// Frames from the runner. Ends when the session disconnects.
     pub(crate) incoming: mpsc::Receiver<RunnerFrame>,
 }
 
-/// Reaches peers by address.
+/// Client of peers, by address.
 #[async_trait]
 pub(crate) trait PeerNetwork: Debug + Send + Sync {
     /// Sends one request and waits for its reply.
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -8,16 +8,16 @@
 };
 
 quick_error! {
-    /// Why the platform gave no answer.
+    /// Why a call to the store failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum StoreError {
-        /// The platform refused the call or could not be reached; nothing took effect.
+        /// The platform refused the call or was unreachable; no write took effect.
         Unavailable(detail: String) {
             display("the platform's store is unavailable: {}", detail)
         }
-        /// The reply was lost; a write may have taken effect.
+        /// The response was lost; a write may have taken effect.
         OutcomeUnknown(detail: String) {
-            display("the platform's reply was lost: {}", detail)
+            display("no valid response from the platform's store: {}", detail)
         }
     }
 }
@@ -25,72 +25,58 @@
 /// One row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Row {
-    /// The row's key.
     pub(crate) key: String,
-    /// The row's value.
     pub(crate) value: String,
-    /// Grows with each write of the row, from 1.
+    /// Starts at 1 and increases with each write of the row.
     pub(crate) version: u64,
 }
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Check {
-    /// The row's key.
     pub(crate) key: String,
-    /// The version that the row must have; zero: there must be no such row.
+    /// Expected version of the row; 0 if the row must not exist.
     pub(crate) version: u64,
 }
 
 /// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Put {
-    /// The row's key.
     pub(crate) key: String,
-    /// The new value; `None` deletes the row.
+    /// `None` deletes the row.
     pub(crate) value: Option<String>,
 }
 
-/// Writes that take effect together, if all checks hold.
+/// Writes that are committed atomically if all checks hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Transaction {
-    /// The conditions.
     pub(crate) checks: Vec<Check>,
-    /// The writes.
     pub(crate) puts: Vec<Put>,
 }
 
-/// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum TransactionOutcome {
-    /// All writes took effect.
     Committed,
-    /// None did: this row's check failed.
+    /// A check failed; no write took effect.
     Conflict {
         /// The key of the first check that failed.
         key: String,
     },
 }
 
-/// The transactional table.
 #[async_trait]
 pub(crate) trait Table: Debug + Send + Sync {
-    /// Reads one row.
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError>;
 
-    /// Reads all rows whose key begins with `prefix`, in the order of their keys.
+    /// Returns all rows whose key starts with `prefix`, ordered by key.
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, StoreError>;
 
-    /// Writes rows if all checks hold.
     async fn transact(&self, transaction: Transaction) -> Result<TransactionOutcome, StoreError>;
 }
 
-/// The object store.
 #[async_trait]
 pub(crate) trait ObjectStore: Debug + Send + Sync {
-    /// Reads an object.
     async fn get_object(&self, name: &str) -> Result<Option<String>, StoreError>;
 
-    /// Writes an object.
     async fn put_object(&self, name: &str, body: String) -> Result<(), StoreError>;
 }
--- a/src/ports/tests.rs
+++ b/src/ports/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the metrics' names against the operators' page.
+//! Checks that the operators' page documents every metric.
 
 use super::{Counter, Gauge};
 
--- a/src/ports/worker_client.rs
+++ b/src/ports/worker_client.rs
@@ -1,4 +1,4 @@
-//! The worker beside an agent.
+//! Client of the worker on the agent's host.
 
 use {
     crate::core::execution::{HoldCall, HoldResponse, StartCall, StartResponse, StopCall},
@@ -6,15 +6,14 @@
     std::fmt::Debug,
 };
 
-/// Orders to the worker; each comes back with what its answer, or its absence, means.
+/// Calls to the worker. The result of a call also covers a missing response.
 #[async_trait]
 pub(crate) trait WorkerClient: Debug + Send + Sync {
-    /// Tells it to start a task.
     async fn start(&self, call: &StartCall) -> StartResponse;
 
-    /// Tells it to stop a run; whether it has taken the order.
+    /// Stops a run; true if the worker accepted the call.
     async fn stop(&self, call: &StopCall) -> bool;
 
-    /// Asks what runs and what has ended.
+    /// Requests the list of running and finished runs.
     async fn hold(&self, call: &HoldCall) -> HoldResponse;
 }
