--- a/src/adapters/peer/activity.rs
+++ b/src/adapters/peer/activity.rs
@@ -9,7 +9,7 @@
 };
 
 #[derive(Debug, Clone, Copy, Default)]
-struct StreamCounts {
+struct ConnectionCounts {
     /// Open streams.
     streams: usize,
     /// Streams opened since the connection was established.
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct ConnectionActivity {
     idle_timeout: Duration,
-    counts: watch::Sender<StreamCounts>,
+    counts: watch::Sender<ConnectionCounts>,
 }
 
 impl ConnectionActivity {
--- a/src/adapters/peer/liveness.rs
+++ b/src/adapters/peer/liveness.rs
@@ -10,7 +10,7 @@
 /// Ping interval while a reply is awaited.
 const PING_INTERVAL_MS: u64 = 200;
 /// Ping interval of the server, which awaits no replies.
-const IDLE_PING_INTERVAL_MS: u64 = 30_000;
+const SERVER_PING_INTERVAL_MS: u64 = 30_000;
 /// Time without received bytes after a ping until the connection counts as unresponsive.
 const PONG_TIMEOUT_MS: u64 = 500;
 
@@ -46,7 +46,7 @@
     received: &ReceivedBytes,
 ) -> &'static str {
     loop {
-        sleep(Duration::from_millis(IDLE_PING_INTERVAL_MS)).await;
+        sleep(Duration::from_millis(SERVER_PING_INTERVAL_MS)).await;
         if let Some(cause) = ping(&mut pings, received).await {
             return cause;
         }
