--- a/src/core/claim/mod.rs
+++ b/src/core/claim/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' own keys on their way into the platform's table.
+//! Claims, which bind clients' own keys to tickets in the platform's table.
 
 mod claim;
 mod claim_queue;
@@ -8,6 +8,6 @@
 mod tests;
 
 pub(crate) use {
-    claim::{Claim, ClaimFault, ClaimId},
+    claim::{Claim, ClaimError, ClaimId},
     claim_queue::{ClaimAction, ClaimQueue, WriteOutcome},
 };
--- a/src/core/directory/directory.rs
+++ b/src/core/directory/directory.rs
@@ -1,4 +1,4 @@
-//! Who is there, as announced.
+//! The live agents, as announced by themselves or reported by other entries.
 
 use {
     crate::core::{
@@ -10,85 +10,85 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Silence after which an agent gets no new work, in milliseconds.
-pub(crate) const ALIVE_MS: u64 = 3_000;
-/// Silence after which an agent is dropped from the list, in milliseconds.
-const FORGET_AFTER_MS: u64 = 60_000;
-/// For how long an agent's last announcements may be under way after it is gone, in milliseconds.
-const LATE_MS: u64 = 5_000;
+/// Time without an announcement after which an agent gets no new work, in milliseconds.
+pub(crate) const LIVENESS_TIMEOUT_MS: u64 = 3_000;
+/// Time without an announcement after which an agent is removed, in milliseconds.
+const EXPIRY_MS: u64 = 60_000;
+/// Maximum delay of an announcement in transit after its agent stopped, in milliseconds.
+const MAX_ANNOUNCEMENT_DELAY_MS: u64 = 5_000;
 
-/// An agent as last announced.
+/// The latest known state of an agent.
 #[derive(Debug, Clone)]
 pub(crate) struct AgentView {
-    /// What it said.
     pub(crate) announcement: Announcement,
-    /// When it said so, here or to an entry that passed it on.
-    pub(crate) heard_at: Instant,
-    /// When it last said so here.
-    pub(crate) direct_at: Option<Instant>,
-    /// Grows when it says something other than its load.
-    pub(crate) statement: u64,
-    /// Fingerprint of the announcement.
+    /// When this entry last received an announcement or heartbeat of the agent, from any source.
+    pub(crate) last_heard_at: Instant,
+    /// When this entry last received an announcement from the agent itself.
+    pub(crate) last_direct_at: Option<Instant>,
+    /// Incremented when the announcement changes in more than its load.
+    pub(crate) content_version: u64,
     pub(crate) fingerprint: u8,
-    /// When a call to it last failed.
+    /// When the latest call to the agent failed.
     failed_at: Option<Instant>,
 }
 
 impl AgentView {
-    /// Whether it was heard lately, and since the last call to it failed.
-    fn is_there(&self, now: Instant) -> bool {
-        now.millis_since(self.heard_at) < ALIVE_MS
+    /// Whether the agent was heard within the liveness timeout and after the last failed call.
+    fn is_alive(&self, now: Instant) -> bool {
+        now.millis_since(self.last_heard_at) < LIVENESS_TIMEOUT_MS
             && self
                 .failed_at
-                .is_none_or(|failed_at| failed_at < self.heard_at)
+                .is_none_or(|failed_at| failed_at < self.last_heard_at)
     }
 }
 
-/// Where a ticket's home is.
+/// The location of a ticket's home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HomeLocation {
-    /// It announced itself lately, or was last known here.
+    /// The last known address.
     At(SocketAddr),
-    /// This entry has never heard of it, or not for long.
+    /// This entry doesn't know the home, or has removed it.
     Unknown,
-    /// Another process of the same worker announces itself: this one is gone.
+    /// A newer process of the same worker has replaced the home.
     Replaced,
 }
 
-/// The live agents, heard here or reported by other entries.
+/// The agents that this entry knows.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     agents: BTreeMap<AgentId, AgentView>,
     by_worker: BTreeMap<String, AgentId>,
     replaced: BTreeMap<AgentId, Instant>,
-    /// The short numbers by which other entries name agents.
+    /// The agents by reporting entry and that entry's index for them.
     reported: BTreeMap<(AgentId, u32), AgentId>,
-    /// Homes of stopped processes, each with the agent that answers for it now.
+    /// Homes of stopped processes, each with the agent that serves it now.
     adopted: BTreeMap<AgentId, AgentId>,
 }
 
 impl Directory {
-    /// Takes an agent's own announcement in; true if it says something new.
+    /// Records an agent's own announcement; true if its content is new.
     pub(crate) fn record_announcement(&mut self, now: Instant, announcement: Announcement) -> bool {
-        self.take(now, announcement, true)
+        self.apply_announcement(now, announcement, true)
     }
 
-    /// Takes in what another entry heard.
+    /// Records an agent that another entry reports in full.
     pub(crate) fn record_report(&mut self, now: Instant, from: AgentId, report: AgentReport) {
         let agent = report.announcement.agent;
         self.reported.insert((from, report.index), agent);
-        self.take(now, report.announcement, false);
+        self.apply_announcement(now, report.announcement, false);
     }
 
-    /// Takes in that another entry heard an agent; false if a report is needed, as it isn't known
-    /// which one that is, or as it said something else here.
+    /// Records a heartbeat of an agent that another entry forwards.
+    ///
+    /// Returns false if a full report is needed because the index is unknown or the fingerprint
+    /// differs.
     pub(crate) fn record_heartbeat(
         &mut self,
         now: Instant,
         from: AgentId,
-        beat: AgentHeartbeat,
+        heartbeat: AgentHeartbeat,
     ) -> bool {
-        let Some(agent) = self.reported.get(&(from, beat.index)) else {
+        let Some(agent) = self.reported.get(&(from, heartbeat.index)) else {
             return false;
         };
         if self.replaced.contains_key(agent) {
@@ -97,14 +97,19 @@
         let Some(view) = self.agents.get_mut(agent) else {
             return false;
         };
-        view.heard_at = now;
-        view.announcement.free_slots = beat.free_slots;
-        view.fingerprint == beat.fingerprint
+        view.last_heard_at = now;
+        view.announcement.free_slots = heartbeat.free_slots;
+        view.fingerprint == heartbeat.fingerprint
     }
 
-    fn take(&mut self, now: Instant, announcement: Announcement, direct: bool) -> bool {
+    fn apply_announcement(
+        &mut self,
+        now: Instant,
+        announcement: Announcement,
+        direct: bool,
+    ) -> bool {
         let agent = announcement.agent;
-        if !self.may_be_there(now, &announcement, direct) {
+        if !self.is_plausible(now, &announcement, direct) {
             return false;
         }
         let previous = self
@@ -121,11 +126,11 @@
         }
         let fingerprint = announcement.fingerprint();
         let is_new = known.is_none_or(|view| view.fingerprint != fingerprint);
-        let statement = known.map_or(0, |view| view.statement) + u64::from(is_new);
-        let direct_at = if direct {
+        let content_version = known.map_or(0, |view| view.content_version) + u64::from(is_new);
+        let last_direct_at = if direct {
             Some(now)
         } else {
-            known.and_then(|view| view.direct_at)
+            known.and_then(|view| view.last_direct_at)
         };
         let failed_at = known.and_then(|view| view.failed_at);
         self.adopted.retain(|_, successor| *successor != agent);
@@ -133,9 +138,9 @@
         self.adopted.extend(adopted);
         let view = AgentView {
             announcement,
-            heard_at: now,
-            direct_at,
-            statement,
+            last_heard_at: now,
+            last_direct_at,
+            content_version,
             fingerprint,
             failed_at,
         };
@@ -143,35 +148,34 @@
         is_new
     }
 
-    /// Whether an announcement can come from a process that is there.
+    /// Whether an announcement can come from a running process.
     ///
-    /// Guards against the last announcements of a dead agent, which arrive late, directly or by
-    /// way of another entry: its successor must not count as replaced. An agent that goes on
-    /// announcing itself for longer than its last words can be under way is there after all.
-    fn may_be_there(&mut self, now: Instant, announcement: &Announcement, direct: bool) -> bool {
+    /// Announcements of a stopped agent can arrive late and must not replace its successor. An
+    /// agent that still announces itself after [`MAX_ANNOUNCEMENT_DELAY_MS`] is running.
+    fn is_plausible(&mut self, now: Instant, announcement: &Announcement, direct: bool) -> bool {
         let agent = announcement.agent;
         let holder = self
             .by_worker
             .get(&announcement.worker)
             .filter(|holder| **holder != agent)
             .and_then(|holder| self.agents.get(holder));
-        let holder_is_here = holder
-            .and_then(|holder| holder.direct_at)
-            .is_some_and(|at| now.millis_since(at) < ALIVE_MS);
+        let holder_is_alive = holder
+            .and_then(|holder| holder.last_direct_at)
+            .is_some_and(|at| now.millis_since(at) < LIVENESS_TIMEOUT_MS);
         if let Some(since) = self.replaced.get(&agent) {
-            if holder_is_here || !direct || now.millis_since(*since) < LATE_MS {
+            if holder_is_alive || !direct || now.millis_since(*since) < MAX_ANNOUNCEMENT_DELAY_MS {
                 return false;
             }
             self.replaced.remove(&agent);
         }
-        direct || !holder_is_here
+        direct || !holder_is_alive
     }
 
-    /// Forgets agents that have been silent for long.
+    /// Removes agents without an announcement for [`EXPIRY_MS`].
     pub(crate) fn expire(&mut self, now: Instant) {
         let by_worker = &mut self.by_worker;
         self.agents.retain(|_, view| {
-            let keep = now.millis_since(view.heard_at) < FORGET_AFTER_MS;
+            let keep = now.millis_since(view.last_heard_at) < EXPIRY_MS;
             if !keep {
                 by_worker.remove(&view.announcement.worker);
             }
@@ -181,12 +185,12 @@
         self.adopted
             .retain(|_, successor| agents.contains_key(successor));
         self.replaced
-            .retain(|_, since| now.millis_since(*since) < FORGET_AFTER_MS * 20);
+            .retain(|_, since| now.millis_since(*since) < EXPIRY_MS * 20);
         let agents = &self.agents;
         self.reported.retain(|_, agent| agents.contains_key(agent));
     }
 
-    /// Where a home is.
+    /// Returns the location of a home.
     pub(crate) fn locate(&self, home: AgentId) -> HomeLocation {
         let home = self.adopted.get(&home).copied().unwrap_or(home);
         if let Some(view) = self.agents.get(&home) {
@@ -198,58 +202,59 @@
         HomeLocation::Unknown
     }
 
-    /// Agents that announced themselves lately.
+    /// The agents that announced themselves within the liveness timeout.
     pub(crate) fn alive(&self, now: Instant) -> impl Iterator<Item = &AgentView> {
-        self.agents.values().filter(move |view| view.is_there(now))
+        self.agents.values().filter(move |view| view.is_alive(now))
     }
 
-    /// A call to an agent failed: it gets no new work until it answers or is heard again.
+    /// Records a failed call; the agent gets no new work until a call succeeds or it announces
+    /// itself.
     ///
-    /// Guards against a rack that is lost at once: until its silence was noticed, every second
-    /// job would get a home there, and its client would wait for one that is gone.
-    pub(crate) fn call_failed(&mut self, now: Instant, agent: AgentId) {
+    /// When a whole rack fails, jobs stop being sent there before the liveness timeout has passed.
+    pub(crate) fn record_call_failure(&mut self, now: Instant, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = Some(now);
         }
     }
 
-    /// A call to an agent was answered.
-    pub(crate) fn call_answered(&mut self, agent: AgentId) {
+    /// Records a successful call.
+    pub(crate) fn record_call_success(&mut self, agent: AgentId) {
         if let Some(view) = self.agents.get_mut(&agent) {
             view.failed_at = None;
         }
     }
 
-    /// Agents that announced themselves here after `since`, or never lately if it is `None`.
+    /// The live agents that announced themselves to this entry after `since`, or ever if it is
+    /// `None`.
     pub(crate) fn announced_here(
         &self,
         now: Instant,
         since: Option<Instant>,
     ) -> impl Iterator<Item = &AgentView> {
         self.alive(now).filter(move |view| {
-            view.direct_at
+            view.last_direct_at
                 .is_some_and(|at| since.is_none_or(|since| at > since))
         })
     }
 
-    /// Whether an agent is still listed.
+    /// Whether the agent is known.
     pub(crate) fn contains(&self, agent: AgentId) -> bool {
         self.agents.contains_key(&agent)
     }
 
-    /// All agents that are still listed.
-    pub(crate) fn listed(&self) -> impl Iterator<Item = &AgentView> {
+    /// All known agents.
+    pub(crate) fn agents(&self) -> impl Iterator<Item = &AgentView> {
         self.agents.values()
     }
 
-    /// Whether an agent may be handed new jobs or tasks.
-    pub(crate) fn takes_work(&self, now: Instant, agent: AgentId) -> bool {
+    /// Whether an agent may get new jobs or tasks.
+    pub(crate) fn accepts_work(&self, now: Instant, agent: AgentId) -> bool {
         self.agents
             .get(&agent)
-            .is_some_and(|view| !view.announcement.leaving && view.is_there(now))
+            .is_some_and(|view| !view.announcement.leaving && view.is_alive(now))
     }
 
-    /// Whether the configuration lets tasks start at an agent.
+    /// Whether the configuration allows tasks to start at an agent.
     pub(crate) fn is_open(&self, document: &Document, agent: AgentId) -> bool {
         self.agents.get(&agent).is_some_and(|view| {
             let announcement = &view.announcement;
@@ -257,7 +262,7 @@
         })
     }
 
-    /// Runners that could take tasks of a service, those with most free slots first.
+    /// The runners that can run tasks of a service, in descending order of free slots.
     pub(crate) fn candidates(
         &self,
         now: Instant,
--- a/src/core/runner/runner.rs
+++ b/src/core/runner/runner.rs
@@ -1,9 +1,9 @@
-//! The runner machine.
+//! The runner's state machine.
 
 use {
     super::{
         RunnerAction, RunnerEvent, SessionId,
-        home_link::{HomeLink, KeptOutcome},
+        home_link::{HomeLink, UnacknowledgedOutcome},
     },
     crate::core::{
         demand::DemandQueue,
@@ -20,11 +20,11 @@
 /// Limits of a runner.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RunnerSettings {
-    /// For how long an outcome that its home has not acknowledged is kept.
-    pub(crate) keep_outcome_ms: u64,
+    /// How long an outcome is retained if its home does not acknowledge it.
+    pub(crate) outcome_retention_ms: u64,
 }
 
-/// Starts tasks on the backend server beside it, each at most once.
+/// Starts tasks on the local backend server, each at most once.
 #[derive(Debug)]
 pub(crate) struct Runner {
     pub(super) id: AgentId,
@@ -39,7 +39,7 @@
 }
 
 impl Runner {
-    /// A runner without a backend server and without a permit.
+    /// Creates a runner without a backend server and without a permit.
     pub(crate) fn new(id: AgentId, settings: RunnerSettings) -> Self {
         Self {
             id,
@@ -54,50 +54,50 @@
         }
     }
 
-    /// Services of the backend server, empty while none is there.
+    /// Services of the backend server; empty while it is unavailable.
     pub(crate) fn services(&self) -> &[String] {
         &self.services
     }
 
-    /// Slots of the backend server.
+    /// Total slots of the backend server.
     pub(crate) const fn slots(&self) -> u16 {
         self.slots
     }
 
-    /// Tasks that run now.
+    /// Number of running tasks.
     pub(crate) fn running_count(&self) -> u16 {
         let count: usize = self.links.values().map(|link| link.running.len()).sum();
         u16::try_from(count).unwrap_or(u16::MAX)
     }
 
-    /// Outcomes that their homes have not acknowledged.
-    pub(crate) fn unfetched_count(&self) -> usize {
+    /// Number of outcomes that their homes have not acknowledged.
+    pub(crate) fn unacknowledged_count(&self) -> usize {
         self.links.values().map(|link| link.ended.len()).sum()
     }
 
-    /// Whether new work is refused for good.
+    /// Whether the runner is shutting down and refuses new work.
     pub(crate) const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// When the permit to start tasks ends.
+    /// When the permit to start tasks expires.
     pub(crate) const fn permit_until(&self) -> Instant {
         self.permit.expires_at()
     }
 
-    /// Newest configuration version that an entry named.
+    /// Newest configuration version received from an entry.
     pub(crate) const fn config_version(&self) -> u64 {
         self.permit.config_version()
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and returns the actions to execute.
     pub(crate) fn handle(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
-        let mut actions = self.react(now, event);
+        let mut actions = self.handle_event(now, event);
         self.offer_slots(now, &mut actions);
         actions
     }
 
-    fn react(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
+    fn handle_event(&mut self, now: Instant, event: RunnerEvent) -> Vec<RunnerAction> {
         match event {
             RunnerEvent::Frame { session, frame } => self.on_frame(now, session, frame),
             RunnerEvent::SessionClosed { session } => self.on_session_closed(now, session),
@@ -107,7 +107,7 @@
                 self.slots = slots;
                 Vec::new()
             }
-            RunnerEvent::BackendGone => {
+            RunnerEvent::BackendUnavailable => {
                 self.services.clear();
                 Vec::new()
             }
@@ -127,11 +127,12 @@
             }
             RunnerEvent::Tick => {
                 self.demands.expire_holds(now);
-                let keep_ms = self.settings.keep_outcome_ms;
+                let retention_ms = self.settings.outcome_retention_ms;
                 for link in self.links.values_mut() {
-                    link.drop_old_outcomes(now, keep_ms);
+                    link.drop_expired_outcomes(now, retention_ms);
                 }
-                self.links.retain(|_, link| !link.is_idle(now, keep_ms));
+                self.links
+                    .retain(|_, link| !link.is_idle(now, retention_ms));
                 Vec::new()
             }
         }
@@ -211,11 +212,11 @@
         if let Some(link) = self.links.get_mut(&home) {
             link.starts_seen += 1;
         }
-        if let Some(actions) = self.repeated_start(session, home, task) {
+        if let Some(actions) = self.deduplicate_start(session, home, task) {
             return actions;
         }
         let held = self.demands.consume_hold(home);
-        if let Some(reason) = self.refusal(now, home, epoch, &start, held) {
+        if let Some(reason) = self.refusal_reason(now, home, epoch, &start, held) {
             return vec![
                 RunnerAction::CountRefusal(reason),
                 self.outcome_frame(session, home, task, TaskOutcome::NotRun { reason }),
@@ -229,11 +230,11 @@
         vec![RunnerAction::Run(start)]
     }
 
-    /// What to do about a start of a task that is known here.
+    /// The response to a start of a task that already runs or ended here, `None` for a new task.
     ///
-    /// Guards against a second start, and against a home that waits for nothing: it may have
-    /// given this runner up and offer a repeatable task anew, while the outcome is still kept.
-    fn repeated_start(
+    /// A home that considered this runner lost may start a repeatable task again while its outcome
+    /// is still retained here. The outcome is sent again; otherwise the home would not receive it.
+    fn deduplicate_start(
         &self,
         session: SessionId,
         home: AgentId,
@@ -243,17 +244,17 @@
         if link.running.contains_key(&task) {
             return Some(Vec::new());
         }
-        let kept = link.ended.get(&task)?;
+        let record = link.ended.get(&task)?;
         Some(vec![self.outcome_frame(
             session,
             home,
             task,
-            kept.outcome.clone(),
+            record.outcome.clone(),
         )])
     }
 
-    /// Why this start can't be taken, if it can't.
-    fn refusal(
+    /// The reason to refuse this start, if there is one.
+    fn refusal_reason(
         &self,
         now: Instant,
         home: AgentId,
@@ -281,11 +282,11 @@
     }
 
     fn on_cancel(&self, home: AgentId, task: TaskRef) -> Vec<RunnerAction> {
-        let runs = self
+        let is_running = self
             .links
             .get(&home)
             .is_some_and(|link| link.running.contains_key(&task));
-        if runs {
+        if is_running {
             vec![RunnerAction::Stop(task)]
         } else {
             Vec::new()
@@ -341,27 +342,27 @@
         let Some(epoch) = link.running.remove(&task) else {
             return Vec::new();
         };
-        // Guards against a deadlock of a retried task: a refused one may come back to this
-        // runner, and a kept record would make it look like a repeated start. Without a
-        // record it counts as never started, which is the same truth.
+        // A refused task may be retried on this runner, and a record of it would make the retry
+        // look like a duplicate start. Without a record its status is "never started", which is
+        // also correct.
         if !matches!(outcome, TaskOutcome::NotRun { .. }) {
-            let kept = KeptOutcome {
+            let record = UnacknowledgedOutcome {
                 outcome: outcome.clone(),
                 epoch,
                 ended_at: now,
             };
-            link.ended.insert(task, kept);
+            link.ended.insert(task, record);
         }
         let Some(session) = link.session else {
             return Vec::new();
         };
-        // Slots are held for those who wait before the home is told what it may count on; it
-        // hears of the outcome first, because a failure may leave it without use for an offer.
-        let mut offers = Vec::new();
-        self.offer_slots(now, &mut offers);
+        // Slots are offered to waiting homes first, so that the outcome frame reports accurate free
+        // slots. The outcome is sent before the offers: after a failure the home may need no slot.
+        let mut actions = Vec::new();
+        self.offer_slots(now, &mut actions);
         let outcome = self.outcome_frame(session, task.ticket.home, task, outcome);
-        offers.insert(0, outcome);
-        offers
+        actions.insert(0, outcome);
+        actions
     }
 
     fn outcome_frame(
@@ -387,10 +388,10 @@
         if self.running.contains_key(&task) {
             return TaskStatus::Running;
         }
-        if let Some(kept) = self.ended.get(&task) {
-            return TaskStatus::Ended(kept.outcome.clone());
+        if let Some(record) = self.ended.get(&task) {
+            return TaskStatus::Ended(record.outcome.clone());
         }
-        if epoch <= self.forgot_through_epoch {
+        if epoch <= self.dropped_through_epoch {
             return TaskStatus::Forgotten;
         }
         TaskStatus::NeverStarted
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -18,7 +18,7 @@
             execution::{ExecutionEvent, Executor, ExecutorSettings},
             work::WorkerView,
         },
-        platform::HttpWorker,
+        platform::HttpWorkerClient,
         site_entry::{ProcessLogEvent, SiteProcess},
     },
     std::{
@@ -60,7 +60,7 @@
         });
         ExecutionLoop {
             executor,
-            worker: Arc::new(HttpWorker::new(
+            worker: Arc::new(HttpWorkerClient::new(
                 self.process.caller.clone(),
                 settings.worker,
             )),
@@ -126,7 +126,7 @@
     tokio::spawn(shared.worker_view_store(&settings).run(newest_view));
     tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
     shared.process.log_started(site);
-    let lease_expiry_ms = site.limits.lapse_ms() + LEASE_SLACK_MS;
+    let lease_expiry_ms = site.limits.max_lease_ms() + LEASE_SLACK_MS;
     tokio::spawn(dial_after_stale_runs(
         shared.dialler(&settings),
         stale_runs_receiver,
