--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -29,7 +29,7 @@
 pub(crate) async fn show(api: Api<'_>, Query(query): Query<ShowQuery>) -> Response {
     let config = match query.version {
         None => api.state.in_force(),
-        Some(version) => match api.config.at_version(version).await {
+        Some(version) => match api.config_store.at_version(version).await {
             Ok(Some(config)) => Some(config),
             Ok(None) => return apply_error_response(&ApplyError::UnknownBase(version)),
             Err(error) => return apply_error_response(&ApplyError::Unavailable(error)),
@@ -56,7 +56,7 @@
         Ok(change) => change,
         Err(detail) => return error_response(StatusCode::BAD_REQUEST, &detail),
     };
-    change_response(api.config.apply(operator, &change).await)
+    change_response(api.config_store.apply(operator, &change).await)
 }
 
 /// `POST /v1/config/diff`: preview of a change. Without a token, changes of any section are allowed.
@@ -71,14 +71,14 @@
         Ok(change) => change,
         Err(detail) => return error_response(StatusCode::BAD_REQUEST, &detail),
     };
-    change_response(api.config.preview(&sections, &change).await)
+    change_response(api.config_store.preview(&sections, &change).await)
 }
 
 /// `GET /v1/config/history`, `GET /v1/config/history?last=N`
 #[handler]
 pub(crate) async fn history(api: Api<'_>, Query(query): Query<HistoryQuery>) -> Response {
     let last = query.last.unwrap_or(DEFAULT_HISTORY_VERSIONS);
-    match api.config.history(last).await {
+    match api.config_store.history(last).await {
         Ok(heads) => Json(heads).into_response(),
         Err(error) => apply_error_response(&ApplyError::Unavailable(error)),
     }
@@ -104,7 +104,7 @@
         edit: Edit::Zone { zone, state },
         close_last_zone: query.last,
     };
-    change_response(api.config.apply(operator, &change).await)
+    change_response(api.config_store.apply(operator, &change).await)
 }
 
 /// `GET /v1/workers`
@@ -132,7 +132,7 @@
 
 fn authenticate<'a>(api: &'a Arc<EntryApi>, request: &Request) -> Option<&'a OperatorSettings> {
     let token = request.header("authorization")?.strip_prefix("Bearer ")?;
-    api.config.operator(token)
+    api.config_store.find_operator(token)
 }
 
 fn parse_change(body: ChangeBody) -> Result<Change, String> {
--- a/src/agent/home_loop.rs
+++ b/src/agent/home_loop.rs
@@ -1,4 +1,4 @@
-//! Drives the home machine: feeds events in and carries actions out.
+//! Event loop of a home: passes events to its state machine and executes the actions.
 
 use {
     crate::{
@@ -14,36 +14,36 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Resolution of the home's deadlines, in milliseconds.
+/// Resolution of the home's deadlines.
 const TICK_MS: u64 = 5;
 
-/// Makes an event out of the waiter that its reply goes to.
-pub(crate) type EventFor = Box<dyn FnOnce(WaiterId) -> HomeEvent + Send>;
+/// Builds an event for the waiter that receives the reply.
+pub(crate) type EventBuilder = Box<dyn FnOnce(WaiterId) -> HomeEvent + Send>;
 
-/// What the loop takes in.
+/// Input of the loop.
 pub(crate) enum HomeInput {
-    /// A request of an entry, with where its reply goes.
-    Request(EventFor, oneshot::Sender<JobStatus>),
+    /// A request of an entry, with the channel for its reply.
+    Request(EventBuilder, oneshot::Sender<JobStatus>),
     /// An event without a reply.
     Event(HomeEvent),
-    /// A session is open; frames go out here.
-    SessionOpen {
+    /// A session was opened; `outgoing` sends its frames.
+    SessionOpened {
         runner: AgentId,
         epoch: u64,
         outgoing: mpsc::UnboundedSender<HomeFrame>,
     },
-    /// A request for tickets to announce.
+    /// Requests a number of tickets for an announcement.
     Grant(u32, oneshot::Sender<Option<TicketGrant>>),
-    /// A planned stop: give everything away and end.
+    /// Requests the home's records for a successor and stops the loop.
     HandOver(oneshot::Sender<Box<HomeRecords>>),
-    /// A question how many jobs run.
+    /// Requests the number of unfinished jobs.
     RunningCount(oneshot::Sender<usize>),
 }
 
-/// The home machine with its sessions and waiters.
+/// A home with its sessions and waiters.
 pub(crate) struct HomeLoop {
     pub(crate) home: Home,
-    /// Whether another process had this home before; it grants no tickets, so it ends.
+    /// Whether the home comes from another process. It grants no tickets, so the loop ends once it is finished.
     pub(crate) adopted: bool,
     pub(crate) network: Arc<dyn PeerNetwork>,
     pub(crate) timer: Arc<dyn TimerService>,
@@ -56,14 +56,14 @@
 }
 
 impl HomeLoop {
-    /// Runs until the process ends, or the home moves or is over.
+    /// Runs until the process exits, the home moves or an adopted home is finished.
     pub(crate) async fn run(mut self, mut received: mpsc::UnboundedReceiver<HomeInput>) {
         let mut ticks = self.timer.subscribe(TICK_MS);
         while !self.ended {
             tokio::select! {
-                Some(input) = received.recv() => self.take(input),
+                Some(input) = received.recv() => self.handle_input(input),
                 Some(_) = ticks.recv() => {
-                    self.feed(HomeEvent::Tick);
+                    self.handle_event(HomeEvent::Tick);
                     self.ended = self.adopted && self.home.is_finished();
                     self.metrics.set(Gauge::JobsRunning, self.home.running_count() as u64);
                 }
@@ -72,33 +72,33 @@
         }
     }
 
-    fn take(&mut self, input: HomeInput) {
+    fn handle_input(&mut self, input: HomeInput) {
         match input {
-            HomeInput::Request(event_for, reply) => {
+            HomeInput::Request(build_event, reply) => {
                 self.next_waiter += 1;
                 let waiter = WaiterId(self.next_waiter);
                 self.waiters.insert(waiter, reply);
-                self.feed(event_for(waiter));
+                self.handle_event(build_event(waiter));
             }
             HomeInput::Event(event) => {
                 if let HomeEvent::SessionLost { runner, epoch } = event {
-                    self.forget_session(runner, epoch);
+                    self.remove_session(runner, epoch);
                 }
-                self.feed(event);
+                self.handle_event(event);
             }
-            HomeInput::SessionOpen {
+            HomeInput::SessionOpened {
                 runner,
                 epoch,
                 outgoing,
-            } => self.keep_session(runner, epoch, outgoing),
-            // A dropped receiver no longer wants the reply.
+            } => self.add_session(runner, epoch, outgoing),
+            // The receiver may have been dropped.
             HomeInput::Grant(count, reply) => {
                 let _ = reply.send(self.home.grant(self.timer.now(), count));
             }
             HomeInput::HandOver(reply) => {
                 let (records, actions) = self.home.hand_over(self.timer.now());
                 for action in actions {
-                    self.carry_out(action);
+                    self.execute(action);
                 }
                 let _ = reply.send(Box::new(records));
                 self.ended = true;
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Guards against a session that opened late and takes the place of a newer one: the home
-    /// sends on the newest only, so its frames would be dropped and its tasks never start.
-    fn keep_session(
+    /// Adds a session unless a newer one exists: the home sends only on the newest, and frames for
+    /// a replaced session would be dropped.
+    fn add_session(
         &mut self,
         runner: AgentId,
         epoch: u64,
@@ -126,7 +126,7 @@
         }
     }
 
-    fn forget_session(&mut self, runner: AgentId, epoch: u64) {
+    fn remove_session(&mut self, runner: AgentId, epoch: u64) {
         if self
             .sessions
             .get(&runner)
@@ -136,14 +136,14 @@
         }
     }
 
-    fn feed(&mut self, event: HomeEvent) {
+    fn handle_event(&mut self, event: HomeEvent) {
         let actions = self.home.handle(self.timer.now(), event);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: HomeAction) {
+    fn execute(&mut self, action: HomeAction) {
         match action {
             HomeAction::OpenSession {
                 runner,
@@ -157,7 +157,7 @@
             } => self.send(runner, epoch, frame),
             HomeAction::Reply { waiter, status } => {
                 if let Some(reply) = self.waiters.remove(&waiter) {
-                    // An entry that is gone asks again if it still wants to know.
+                    // The receiver is dropped if the entry disconnected; the entry can poll again.
                     let _ = reply.send(status);
                 }
             }
@@ -178,7 +178,7 @@
         if let Some((open_epoch, outgoing)) = self.sessions.get(&runner)
             && *open_epoch == epoch
         {
-            // A closed session is reported as lost by its reader.
+            // The reading task reports a closed session.
             let _ = outgoing.send(frame);
         }
     }
@@ -190,7 +190,7 @@
         tokio::spawn(async move {
             if let Ok(session) = network.open_session(peer_addr, home, epoch).await {
                 let mut incoming = session.incoming;
-                let opened = HomeInput::SessionOpen {
+                let opened = HomeInput::SessionOpened {
                     runner,
                     epoch,
                     outgoing: session.outgoing,
@@ -209,7 +209,7 @@
                     }
                 }
             }
-            // The loop ends only with the process.
+            // The loop may have ended.
             let _ = inputs.send(HomeInput::Event(HomeEvent::SessionLost { runner, epoch }));
         });
     }
--- a/src/agent/peer_handler.rs
+++ b/src/agent/peer_handler.rs
@@ -1,9 +1,9 @@
-//! What an agent does with its peers' calls and sessions.
+//! Handles calls and sessions from peers.
 
 use {
     super::{
         AgentHandle,
-        home_loop::{EventFor, HomeInput},
+        home_loop::{EventBuilder, HomeInput},
         home_routes::HomeRoute,
         runner_loop::RunnerInput,
     },
@@ -21,7 +21,7 @@
     tokio::sync::{mpsc, oneshot, watch},
 };
 
-/// Hands calls to the home and sessions to the runner.
+/// Passes calls to homes and sessions to the runner.
 #[derive(Debug)]
 pub(crate) struct AgentPeerHandler {
     pub(crate) agent: Arc<AgentHandle>,
@@ -31,7 +31,7 @@
 impl PeerHandler for AgentPeerHandler {
     async fn handle_call(&self, request: PeerRequest) -> PeerReply {
         if let PeerRequest::Gate(notice) = request {
-            self.agent.gate_changed(notice);
+            self.agent.apply_gate_notice(notice);
             return PeerReply::Noted;
         }
         if let PeerRequest::Adopt(records) = request {
@@ -55,22 +55,22 @@
 }
 
 impl AgentPeerHandler {
-    /// Asks the ticket's home, here or at its successor.
+    /// Sends a request to the ticket's home, in this process or at its successor.
     async fn call_home(&self, ticket: Ticket, request: PeerRequest) -> PeerReply {
         loop {
             match self.agent.homes.route(ticket.id.home) {
                 Some(HomeRoute::Moving(successor)) => {
                     return self.forward(successor, request).await;
                 }
-                Some(HomeRoute::Here(home)) => match ask(&home, request.clone()).await {
+                Some(HomeRoute::Local(home)) => match send_request(&home, request.clone()).await {
                     Some(status) => return PeerReply::Job(status),
-                    // The home began to move in this moment: its route says where.
+                    // The move began after the lookup; the next iteration follows the new route.
                     None if self.has_moved(&ticket) => {}
                     None => return PeerReply::Unsupported,
                 },
-                // The own home knows how to answer for tickets of others.
+                // The agent's own home also replies for tickets of unknown homes.
                 None => {
-                    let status = ask(&self.agent.home, request).await;
+                    let status = send_request(&self.agent.home, request).await;
                     return status.map_or(PeerReply::Unsupported, PeerReply::Job);
                 }
             }
@@ -82,7 +82,7 @@
         matches!(route, Some(HomeRoute::Moving(_)))
     }
 
-    /// Holds a request until the successor has taken over, and passes it on.
+    /// Forwards a request once the successor has adopted the home.
     async fn forward(
         &self,
         mut successor: watch::Receiver<Option<SocketAddr>>,
@@ -94,16 +94,19 @@
         let Some(addr) = addr else {
             return PeerReply::Unsupported;
         };
-        // An entry that gets no reply asks again, and learns of the successor meanwhile.
+        // After `Unsupported` the entry retries; by then it may know the successor.
         let reply = self.agent.starter.network.call(addr, request).await;
         reply.unwrap_or(PeerReply::Unsupported)
     }
 }
 
-async fn ask(home: &mpsc::UnboundedSender<HomeInput>, request: PeerRequest) -> Option<JobStatus> {
-    let event_for = event_for(request)?;
+async fn send_request(
+    home: &mpsc::UnboundedSender<HomeInput>,
+    request: PeerRequest,
+) -> Option<JobStatus> {
+    let build_event = event_builder(request)?;
     let (reply, status) = oneshot::channel();
-    home.send(HomeInput::Request(event_for, reply)).ok()?;
+    home.send(HomeInput::Request(build_event, reply)).ok()?;
     status.await.ok()
 }
 
@@ -119,7 +122,7 @@
     }
 }
 
-fn event_for(request: PeerRequest) -> Option<EventFor> {
+fn event_builder(request: PeerRequest) -> Option<EventBuilder> {
     match request {
         PeerRequest::Announce(_)
         | PeerRequest::Digest(_)
--- a/src/entry/roster_keeper.rs
+++ b/src/entry/roster_sync.rs
@@ -1,7 +1,7 @@
-//! Keeps this entry on the roster, and reads the roster and the configuration's head.
+//! Maintains this entry's registration, and reads the roster and the configuration's head.
 
 use {
-    super::{ConfigKeeper, EntryState},
+    super::{ConfigStore, EntryState},
     crate::{
         core::{
             roster::{ROSTER_PREFIX, Roster, RosterRow, entry_key, heartbeat_key},
@@ -14,64 +14,65 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Pause between readings of the roster, in milliseconds.
-const SURVEY_MS: u64 = 2_000;
-/// Longest pause between writes of the beat row, in milliseconds.
-const BEAT_MS: u64 = 5_000;
-/// Beats written within the time after which the rows may be removed, at least.
-const BEATS_IN_OUTAGE_LIMIT: u64 = 5;
-/// Version of a row that is written once.
-const WRITTEN_ONCE: u64 = 1;
+/// Interval of roster scans, in milliseconds.
+const SCAN_INTERVAL_MS: u64 = 2_000;
+/// Longest interval between writes of the heartbeat row, in milliseconds.
+const MAX_HEARTBEAT_INTERVAL_MS: u64 = 5_000;
+/// Heartbeats due within the time after which others may remove this entry's rows.
+const MIN_HEARTBEATS_PER_OUTAGE_LIMIT: u64 = 5;
+/// Version of an entry's row, which is written only once.
+const INITIAL_ROW_VERSION: u64 = 1;
 
-/// Where this entry stands with the platform.
+/// Synchronizes this entry with the platform's roster and configuration.
 #[derive(Debug)]
-pub(crate) struct RosterKeeper {
+pub(crate) struct RosterSync {
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config_store: Arc<ConfigStore>,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) timer: Arc<dyn TimerService>,
     pub(crate) is_registered: bool,
-    pub(crate) beat_at: Option<Instant>,
-    pub(crate) surveyed_at: Option<Instant>,
+    pub(crate) heartbeat_sent_at: Option<Instant>,
+    pub(crate) scanned_at: Option<Instant>,
 }
 
-impl RosterKeeper {
-    /// Calls the platform again and again, one call at a time.
+impl RosterSync {
+    /// Calls the platform periodically.
     ///
-    /// Guards against calls that pile up on a slow store: the next one begins when the last has
-    /// ended or was given up, and ticks that come meanwhile are dropped.
+    /// Rounds don't overlap, and ticks during a round are dropped, so calls don't pile up on a
+    /// slow store.
     pub(crate) async fn run(mut self, period_ms: u64) {
         let mut ticks = self.timer.subscribe(period_ms);
         let mut reachable = true;
         while ticks.recv().await.is_some() {
-            let result = self.call_platform().await;
+            let result = self.sync().await;
             if result.is_ok() != reachable {
                 reachable = result.is_ok();
-                log::warn!(reachable, error:? = result.err(); "the platform's reachability changed");
+                log::warn!(reachable, error:? = result.err(); "the platform became reachable or unreachable");
             }
         }
     }
 
-    /// One round of calls. The head is read whatever became of the roster's rows: permits rest
-    /// on it, and a store may take reads while it takes no writes.
-    async fn call_platform(&mut self) -> Result<(), StoreError> {
+    /// Runs one round of calls. The head is read even if the roster's rows can't be written: permits
+    /// depend on it, and a store may accept reads but no writes.
+    async fn sync(&mut self) -> Result<(), StoreError> {
         let now = self.timer.now();
-        let stands = self.stand_on_roster(now).await;
-        let is_survey_due = self.is_registered && is_due(now, self.surveyed_at, SURVEY_MS);
-        // A survey reads the head, too.
-        if is_survey_due && self.survey().await.is_ok() {
-            return stands;
+        let registration = self.maintain_registration(now).await;
+        let is_scan_due = self.is_registered && is_due(now, self.scanned_at, SCAN_INTERVAL_MS);
+        // A scan also reads the head.
+        if is_scan_due && self.scan_roster().await.is_ok() {
+            return registration;
         }
-        stands.and(self.keeper.refresh().await)
+        registration.and(self.config_store.refresh().await)
     }
 
-    async fn stand_on_roster(&mut self, now: Instant) -> Result<(), StoreError> {
+    async fn maintain_registration(&mut self, now: Instant) -> Result<(), StoreError> {
         if !self.is_registered {
             self.register().await?;
         }
-        let beat_ms = BEAT_MS.min(self.state.outage_limit_ms / BEATS_IN_OUTAGE_LIMIT);
-        if is_due(now, self.beat_at, beat_ms) {
-            self.beat().await?;
+        let heartbeat_interval_ms = MAX_HEARTBEAT_INTERVAL_MS
+            .min(self.state.outage_limit_ms / MIN_HEARTBEATS_PER_OUTAGE_LIMIT);
+        if is_due(now, self.heartbeat_sent_at, heartbeat_interval_ms) {
+            self.write_heartbeat().await?;
         }
         Ok(())
     }
@@ -91,12 +92,12 @@
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await {
             Ok(TransactionOutcome::Committed) => {
-                self.state.row_written(sent_at);
-                self.beat_at = Some(sent_at);
+                self.state.record_row_written(sent_at);
+                self.heartbeat_sent_at = Some(sent_at);
                 self.is_registered = true;
                 Ok(())
             }
-            // An earlier write whose reply was lost: the next beat finds the row.
+            // An earlier write took effect but its reply was lost; a heartbeat checks the row.
             Ok(TransactionOutcome::Conflict { .. }) => {
                 self.is_registered = true;
                 Ok(())
@@ -105,37 +106,37 @@
         }
     }
 
-    async fn beat(&mut self) -> Result<(), StoreError> {
-        let entry = self.state.me().entry;
+    async fn write_heartbeat(&mut self) -> Result<(), StoreError> {
+        let entry = self.state.local_entry().entry;
         let transaction = Transaction {
-            checks: vec![check(entry_key(entry), WRITTEN_ONCE)],
+            checks: vec![check(entry_key(entry), INITIAL_ROW_VERSION)],
             puts: vec![put(heartbeat_key(entry), Some(String::new()))],
         };
         let sent_at = self.timer.now();
         match self.table.transact(transaction).await? {
             TransactionOutcome::Committed => {
-                self.state.row_written(sent_at);
-                self.beat_at = Some(sent_at);
+                self.state.record_row_written(sent_at);
+                self.heartbeat_sent_at = Some(sent_at);
             }
             TransactionOutcome::Conflict { .. } => self.renew_identity(),
         }
         Ok(())
     }
 
-    /// The rows are gone: others took this entry for dead. It comes back under a new identity.
+    /// Picks a new identity after other entries have removed this one as dead.
     fn renew_identity(&mut self) {
-        log::warn!("this entry was taken off the roster and registers anew");
+        log::warn!("this entry was removed from the roster and registers under a new identity");
         self.state.renew_identity(AgentId(rand::rng().random()));
         self.is_registered = false;
-        self.beat_at = None;
-        self.surveyed_at = None;
+        self.heartbeat_sent_at = None;
+        self.scanned_at = None;
     }
 
-    /// Reads the roster and then the head row, and removes rows of entries that are gone.
-    async fn survey(&mut self) -> Result<(), StoreError> {
-        let asked_at = self.timer.now();
+    /// Reads the roster and then the head row, and removes rows of dead entries.
+    async fn scan_roster(&mut self) -> Result<(), StoreError> {
+        let requested_at = self.timer.now();
         let rows = self.table.scan(ROSTER_PREFIX).await?;
-        let beats: BTreeMap<String, u64> = rows
+        let heartbeats: BTreeMap<String, u64> = rows
             .iter()
             .map(|row| (row.key.clone(), row.version))
             .collect();
@@ -144,26 +145,28 @@
             .filter_map(|row| serde_json::from_str(&row.value).ok())
             .collect();
         // The head must be read after the roster: see `ZoneGate::record_roster_read`.
-        self.keeper.refresh().await?;
-        let survey = self.state.roster_read(asked_at, entries, &beats);
-        self.surveyed_at = Some(asked_at);
-        if !survey.own_row_exists {
+        self.config_store.refresh().await?;
+        let scan = self
+            .state
+            .apply_roster_scan(requested_at, entries, &heartbeats);
+        self.scanned_at = Some(requested_at);
+        if !scan.own_row_exists {
             self.renew_identity();
             return Ok(());
         }
-        for (entry, beat_version) in survey.expired {
-            log::warn!(entry = entry.0; "an entry that is gone is taken off the roster");
-            self.remove(entry, Some(beat_version)).await?;
+        for (entry, heartbeat_version) in scan.expired {
+            log::warn!(entry = entry.0; "removing a dead entry from the roster");
+            self.remove_entry(entry, Some(heartbeat_version)).await?;
         }
         Ok(())
     }
 
-    async fn remove(
+    async fn remove_entry(
         &self,
         entry: AgentId,
-        beat_version: Option<u64>,
+        heartbeat_version: Option<u64>,
     ) -> Result<TransactionOutcome, StoreError> {
-        let checks = beat_version.map(|version| check(heartbeat_key(entry), version));
+        let checks = heartbeat_version.map(|version| check(heartbeat_key(entry), version));
         let transaction = Transaction {
             checks: checks.into_iter().collect(),
             puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
@@ -172,15 +175,15 @@
     }
 }
 
-/// Takes an entry that stops as planned off the roster.
-pub(crate) async fn leave_roster(state: &EntryState, table: &dyn Table) {
-    let entry = state.me().entry;
+/// Removes this entry from the roster at shutdown.
+pub(crate) async fn deregister(state: &EntryState, table: &dyn Table) {
+    let entry = state.local_entry().entry;
     let transaction = Transaction {
         checks: Vec::new(),
         puts: Roster::row_keys(entry).map(|key| put(key, None)).into(),
     };
     if let Err(error) = table.transact(transaction).await {
-        log::warn!(error:% = error; "this entry could not be taken off the roster");
+        log::warn!(error:% = error; "failed to remove this entry from the roster");
     }
 }
 
--- a/src/entry/tests/config/fake_platform.rs
+++ b/src/entry/tests/config/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table and object store in memory, with latencies and faults from a seed.
+//! In-memory table and object store with seeded latencies and faults.
 
 use {
     super::{CallFault, FAULTS},
@@ -19,20 +19,20 @@
     tokio::time::sleep,
 };
 
-/// After this time a caller gives up.
-const GIVE_UP_MS: u64 = 1_500;
+/// Timeout of a caller whose call or reply is lost, in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 1_500;
 
 #[derive(Debug)]
 struct Inner {
     store: PlatformStore,
     rng: ChaCha8Rng,
     fault_percent: u32,
-    planned: VecDeque<CallFault>,
+    scripted: VecDeque<CallFault>,
     calls: usize,
-    watched: Vec<(Arc<EntryState>, u64)>,
+    watched_entries: Vec<(Arc<EntryState>, u64)>,
 }
 
-/// A platform that loses replies, refuses, and lets writes land late.
+/// A platform that refuses calls, loses calls and replies, and delays writes.
 #[derive(Debug)]
 pub(super) struct FakePlatform {
     inner: Arc<Mutex<Inner>>,
@@ -50,9 +50,9 @@
             store: PlatformStore::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             fault_percent: 0,
-            planned: VecDeque::new(),
+            scripted: VecDeque::new(),
             calls: 0,
-            watched: Vec::new(),
+            watched_entries: Vec::new(),
         };
         Arc::new(Self {
             inner: Arc::new(Mutex::new(inner)),
@@ -63,8 +63,8 @@
         self.inner.lock().expect("no panic before")
     }
 
-    /// Writes an entry's row, unless it is there, and lets the entry know.
-    pub(super) fn put_on_roster(&self, state: &EntryState) {
+    /// Writes an entry's roster row unless it exists, and applies a roster scan at the entry.
+    pub(super) fn register_entry(&self, state: &EntryState) {
         let row = state.roster_row();
         let key = entry_key(row.entry.entry);
         let value = serde_json::to_string(&row).expect("row");
@@ -79,38 +79,38 @@
             }],
         };
         self.lock().store.transact(write);
-        state.roster_read(Instant::default(), vec![row], &BTreeMap::new());
+        state.apply_roster_scan(Instant::default(), vec![row], &BTreeMap::new());
     }
 
-    /// From now on this share of calls goes wrong.
+    /// Sets the percentage of calls with a random fault.
     pub(super) fn set_fault_percent(&self, percent: u32) {
         self.lock().fault_percent = percent;
     }
 
-    /// What happens to the next calls, before the share decides again.
-    pub(super) fn plan(&self, faults: &[CallFault]) {
-        self.lock().planned.extend(faults);
+    /// Sets the faults of the next calls; later calls get random faults again.
+    pub(super) fn script_faults(&self, faults: &[CallFault]) {
+        self.lock().scripted.extend(faults);
     }
 
-    /// Nothing goes wrong any more.
-    pub(super) fn heal(&self) {
+    /// Stops injecting faults.
+    pub(super) fn clear_faults(&self) {
         let mut inner = self.lock();
-        inner.planned.clear();
+        inner.scripted.clear();
         inner.fault_percent = 0;
     }
 
-    /// Calls since the last time this was asked.
-    pub(super) fn take_calls(&self) -> usize {
+    /// Returns and resets the number of calls.
+    pub(super) fn drain_call_count(&self) -> usize {
         std::mem::take(&mut self.lock().calls)
     }
 
-    /// From now on fails the test when this entry's version in force goes down.
-    pub(super) fn watch(&self, state: &Arc<EntryState>) {
-        self.lock().watched.push((Arc::clone(state), 0));
+    /// Fails the test if this entry's version in force ever decreases.
+    pub(super) fn watch_version(&self, state: &Arc<EntryState>) {
+        self.lock().watched_entries.push((Arc::clone(state), 0));
     }
 
-    /// Waits as the network would and decides what goes wrong.
-    async fn begin(&self) -> CallFault {
+    /// Waits for the network latency and selects a fault.
+    async fn start_call(&self) -> CallFault {
         let (latency_ms, fault) = {
             let mut inner = self.lock();
             inner.calls += 1;
@@ -119,45 +119,49 @@
         };
         sleep(Duration::from_millis(latency_ms)).await;
         self.lock().check_watched();
-        if matches!(fault, CallFault::CallLost | CallFault::Late) {
-            sleep(Duration::from_millis(GIVE_UP_MS)).await;
+        if matches!(fault, CallFault::CallLost | CallFault::Delayed) {
+            sleep(Duration::from_millis(CALLER_TIMEOUT_MS)).await;
         }
         fault
     }
 
     async fn read<T>(&self, read: impl FnOnce(&PlatformStore) -> T) -> Result<T, StoreError> {
-        let fault = self.begin().await;
+        let fault = self.start_call().await;
         match fault {
-            CallFault::Fine => Ok(read(&self.lock().store)),
+            CallFault::None => Ok(read(&self.lock().store)),
             CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
-            CallFault::ReplyLost | CallFault::CallLost | CallFault::Late => Err(lost()),
+            CallFault::ReplyLost | CallFault::CallLost | CallFault::Delayed => Err(timed_out()),
         }
     }
 
     async fn write(&self, write: Write) -> Result<TransactionOutcome, StoreError> {
-        match self.begin().await {
-            CallFault::Fine => Ok(self.lock().store.take(write)),
+        match self.start_call().await {
+            CallFault::None => Ok(self.lock().store.apply_write(write)),
             CallFault::Unavailable => Err(StoreError::Unavailable("down".to_owned())),
             CallFault::ReplyLost => {
-                self.lock().store.take(write);
-                Err(lost())
+                self.lock().store.apply_write(write);
+                Err(timed_out())
             }
-            CallFault::CallLost => Err(lost()),
-            CallFault::Late => {
+            CallFault::CallLost => Err(timed_out()),
+            CallFault::Delayed => {
                 let inner = Arc::clone(&self.inner);
                 let delay_ms = self.lock().rng.random_range(0..8_000);
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(delay_ms)).await;
-                    inner.lock().expect("no panic before").store.take(write);
+                    inner
+                        .lock()
+                        .expect("no panic before")
+                        .store
+                        .apply_write(write);
                 });
-                Err(lost())
+                Err(timed_out())
             }
         }
     }
 }
 
 impl Inner {
-    /// Mostly a few milliseconds; now and then as long as a pause of the caller.
+    /// Returns a few milliseconds; one call in twenty takes up to six seconds.
     fn latency_ms(&mut self) -> u64 {
         match self.rng.random_range(0..20) {
             0 => self.rng.random_range(0..6_000),
@@ -166,18 +170,18 @@
     }
 
     fn next_fault(&mut self) -> CallFault {
-        if let Some(fault) = self.planned.pop_front() {
+        if let Some(fault) = self.scripted.pop_front() {
             return fault;
         }
         if self.rng.random_range(0..100) >= self.fault_percent {
-            return CallFault::Fine;
+            return CallFault::None;
         }
         FAULTS[self.rng.random_range(0..FAULTS.len())]
     }
 
     fn check_watched(&mut self) {
-        for (state, before) in &mut self.watched {
-            let now = state.in_force().map_or(0, |held| held.head.version);
+        for (state, before) in &mut self.watched_entries {
+            let now = state.in_force().map_or(0, |in_force| in_force.head.version);
             assert!(
                 now >= *before,
                 "the version in force went from {before} to {now}"
@@ -188,7 +192,7 @@
 }
 
 impl PlatformStore {
-    fn take(&mut self, write: Write) -> TransactionOutcome {
+    fn apply_write(&mut self, write: Write) -> TransactionOutcome {
         match write {
             Write::Rows(transaction) => self.transact(transaction),
             Write::Object(name, body) => {
@@ -199,7 +203,7 @@
     }
 }
 
-fn lost() -> StoreError {
+fn timed_out() -> StoreError {
     StoreError::OutcomeUnknown("timed out".to_owned())
 }
 
