--- a/src/adapters/http/response.rs
+++ b/src/adapters/http/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: status, headers and JSON from a verdict.
+//! Responses to clients: status, headers and JSON of a verdict.
 
 use {
     crate::{
@@ -13,15 +13,15 @@
     serde::Serialize,
 };
 
-/// Carries the verdict: `done`, `not-run`, `may-have-run` or `running`.
+/// Header with the verdict: `done`, `not-run`, `may-have-run` or `running`.
 pub(crate) const VERDICT_HEADER: &str = "rattanslip-verdict";
-/// Carries the verdict's reason.
+/// Header with the verdict's reason.
 pub(crate) const REASON_HEADER: &str = "rattanslip-reason";
-/// When to come back, in milliseconds.
+/// Header with the retry delay in milliseconds.
 pub(crate) const RETRY_AFTER_MS_HEADER: &str = "rattanslip-retry-after-ms";
-/// The client's next ticket.
+/// Header with a ticket for the client's next job.
 pub(crate) const NEXT_TICKET_HEADER: &str = "rattanslip-next-ticket";
-/// When to come back, in whole seconds, for clients that know only HTTP.
+/// Standard header with the retry delay in whole seconds.
 const RETRY_AFTER_HEADER: &str = "retry-after";
 
 #[derive(Debug, Serialize)]
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug, Default, Serialize)]
-struct AnswerJson<'a> {
+struct ResponseJson<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     ticket: Option<String>,
     verdict: &'static str,
@@ -54,22 +54,24 @@
     tasks: Vec<TaskJson<'a>>,
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde calls it so")]
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "serde passes a reference"
+)]
 const fn is_zero(value: &u64) -> bool {
     *value == 0
 }
 
-/// A request that is answered without going further.
+/// Rejection of a request.
 #[derive(Debug)]
 pub(crate) struct Refusal {
-    /// What to tell the client's program.
     pub(crate) verdict: Verdict,
-    /// What to tell the client's developer.
+    /// Human-readable details; may be empty.
     pub(crate) message: String,
 }
 
 impl Refusal {
-    /// A refusal that coming back can't change.
+    /// A rejection without a retry delay.
     pub(crate) fn new(reason: NotRunReason, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::refused(reason),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A refusal with a time to come back.
+    /// A rejection with a retry delay.
     pub(crate) const fn retry_after(reason: NotRunReason, retry_after_ms: u64) -> Self {
         Self {
             verdict: Verdict::NotRun {
@@ -88,43 +90,43 @@
         }
     }
 
-    /// The answer to the client.
+    /// Builds the HTTP response.
     pub(crate) fn response(&self) -> Response {
-        refusal(self.verdict, &self.message)
+        refusal_response(self.verdict, &self.message)
     }
 }
 
-fn refusal(verdict: Verdict, message: &str) -> Response {
-    let json = AnswerJson {
+fn refusal_response(verdict: Verdict, message: &str) -> Response {
+    let json = ResponseJson {
         verdict: verdict.as_str(),
         reason: verdict.reason(),
         retry_after_ms: verdict.retry_after_ms(),
         message: Some(message).filter(|message| !message.is_empty()),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     respond(verdict, &json)
 }
 
-/// The answer about a job.
+/// Builds the response about a job.
 pub(crate) fn job_response(ticket: Ticket, report: &JobReport) -> Response {
     match report {
         JobReport::Ended(answer) => ended(ticket, answer),
         JobReport::Running { ended, total } => running(ticket, *ended, *total),
         JobReport::Unknown => unknown(ticket),
         JobReport::Verdict(verdict) => {
-            let json = AnswerJson {
+            let json = ResponseJson {
                 ticket: Some(ticket.to_string()),
                 verdict: verdict.as_str(),
                 reason: verdict.reason(),
                 retry_after_ms: verdict.retry_after_ms(),
-                ..AnswerJson::default()
+                ..ResponseJson::default()
             };
             respond(*verdict, &json)
         }
     }
 }
 
-/// The answer to a single request: the output as it is, or the verdict in JSON.
+/// Builds the response to a single request: the plain output, or the verdict as JSON.
 pub(crate) fn request_response(ticket: Ticket, report: &JobReport) -> Response {
     if let JobReport::Ended(answer) = report
         && let [TaskOutcome::Done { output }] = answer.outcomes.as_slice()
@@ -138,7 +140,7 @@
 }
 
 fn ended(ticket: Ticket, answer: &JobAnswer) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: answer.verdict.as_str(),
         reason: answer.verdict.reason(),
@@ -146,7 +148,7 @@
         task_count: Some(answer.outcomes.len()),
         digest: Some(blake3::Hash::from_bytes(answer.digest).to_hex().to_string()),
         tasks: answer.outcomes.iter().map(task_json).collect(),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     respond(answer.verdict, &json)
 }
@@ -177,12 +179,12 @@
 }
 
 fn running(ticket: Ticket, ended: u16, total: u16) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: "running",
         task_count: Some(usize::from(total)),
         ended: Some(ended),
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     Response::builder()
         .status(StatusCode::ACCEPTED)
@@ -192,11 +194,11 @@
 }
 
 fn unknown(ticket: Ticket) -> Response {
-    let json = AnswerJson {
+    let json = ResponseJson {
         ticket: Some(ticket.to_string()),
         verdict: "not-run",
         reason: "not_submitted",
-        ..AnswerJson::default()
+        ..ResponseJson::default()
     };
     Response::builder()
         .status(StatusCode::NOT_FOUND)
@@ -206,13 +208,13 @@
         .body(body(&json))
 }
 
-fn body(json: &AnswerJson<'_>) -> String {
+fn body(json: &ResponseJson<'_>) -> String {
     let mut text = serde_json::to_string(json).unwrap_or_default();
     text.push('\n');
     text
 }
 
-fn respond(verdict: Verdict, json: &AnswerJson<'_>) -> Response {
+fn respond(verdict: Verdict, json: &ResponseJson<'_>) -> Response {
     let mut response = Response::builder()
         .status(status_of(verdict))
         .header(VERDICT_HEADER, verdict.as_str())
@@ -229,7 +231,7 @@
     response.body(body(json))
 }
 
-/// The HTTP status that says the same as the verdict.
+/// Maps a verdict to an HTTP status.
 pub(super) fn status_of(verdict: Verdict) -> StatusCode {
     match verdict {
         Verdict::Done => StatusCode::OK,
--- a/src/adapters/peer/activity.rs
+++ b/src/adapters/peer/activity.rs
@@ -1,4 +1,4 @@
-//! Whether a connection is in use, and whether someone waits for the other end.
+//! Open streams and awaited replies of a connection.
 
 use {
     std::{sync::Arc, time::Duration},
@@ -9,35 +9,34 @@
 };
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Counts {
-    /// Streams that are open.
+struct ConnectionCounts {
+    /// Open streams.
     streams: usize,
-    /// Streams that have been opened.
+    /// Streams opened since the connection was established.
     opened: u64,
-    /// Replies and outcomes that someone waits for.
+    /// Awaited replies and outcomes.
     awaited: usize,
-    /// No further stream may be opened.
+    /// No more streams may be opened.
     closed: bool,
 }
 
-/// Use of one connection, shared by its streams and the task that watches over it.
+/// Activity of one connection, shared by its streams and its liveness check.
 #[derive(Debug)]
-pub(crate) struct Activity {
-    idle_close: Duration,
-    counts: watch::Sender<Counts>,
+pub(crate) struct ConnectionActivity {
+    idle_timeout: Duration,
+    counts: watch::Sender<ConnectionCounts>,
 }
 
-impl Activity {
-    /// A connection that is closed after being unused for `idle_close`.
-    pub(crate) fn new(idle_close: Duration) -> Self {
+impl ConnectionActivity {
+    pub(crate) fn new(idle_timeout: Duration) -> Self {
         Self {
-            idle_close,
+            idle_timeout,
             counts: watch::Sender::default(),
         }
     }
 
-    /// Notes a new stream; `None` if the connection is being closed.
-    pub(crate) fn open_stream(self: &Arc<Self>) -> Option<OpenStream> {
+    /// Counts a stream until the guard is dropped; `None` if the connection is being closed.
+    pub(crate) fn open_stream(self: &Arc<Self>) -> Option<OpenStreamGuard> {
         let mut is_open = false;
         self.counts.send_modify(|counts| {
             is_open = !counts.closed;
@@ -46,23 +45,23 @@
                 counts.opened += 1;
             }
         });
-        is_open.then(|| OpenStream(Arc::clone(self)))
+        is_open.then(|| OpenStreamGuard(Arc::clone(self)))
     }
 
-    /// Notes that someone waits for the other end, until the guard is dropped.
-    pub(crate) fn await_reply(self: &Arc<Self>) -> AwaitedReply {
+    /// Counts an awaited reply until the guard is dropped.
+    pub(crate) fn await_reply(self: &Arc<Self>) -> AwaitedReplyGuard {
         self.counts.send_modify(|counts| counts.awaited += 1);
-        AwaitedReply(Arc::clone(self))
+        AwaitedReplyGuard(Arc::clone(self))
     }
 
-    /// Resolves with the future's value, or with `None` after the time that closes an idle session.
-    pub(crate) async fn before_idle<T>(&self, work: impl Future<Output = T>) -> Option<T> {
-        timeout(self.idle_close, work).await.ok()
+    /// Resolves with the future's value, or with `None` after the idle timeout.
+    pub(crate) async fn within_idle_timeout<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+        timeout(self.idle_timeout, work).await.ok()
     }
 
-    /// Resolves as soon as someone waits for the other end.
-    pub(crate) async fn awaiting(&self) {
-        // The sender is this object, so it can't be gone.
+    /// Resolves when a reply is awaited.
+    pub(crate) async fn until_reply_awaited(&self) {
+        // Can't fail: `self` owns the sender.
         let _ = self
             .counts
             .subscribe()
@@ -70,20 +69,19 @@
             .await;
     }
 
-    /// Whether someone waits for the other end.
-    pub(crate) fn is_awaiting(&self) -> bool {
+    pub(crate) fn is_reply_awaited(&self) -> bool {
         self.counts.borrow().awaited > 0
     }
 
-    /// Resolves when the connection has had no stream for a while; none can be opened from then on.
-    pub(crate) async fn until_unused(&self) {
+    /// Resolves when the connection has had no stream for the idle timeout; then no stream can be opened.
+    pub(crate) async fn until_idle(&self) {
         let mut counts = self.counts.subscribe();
         loop {
             let opened = match counts.wait_for(|counts| counts.streams == 0).await {
                 Ok(counts) => counts.opened,
                 Err(_) => return,
             };
-            sleep(self.idle_close).await;
+            sleep(self.idle_timeout).await;
             self.counts.send_if_modified(|counts| {
                 counts.closed = counts.streams == 0 && counts.opened == opened;
                 false
@@ -95,21 +93,21 @@
     }
 }
 
-/// An open stream.
+/// Counts a stream as open until dropped.
 #[derive(Debug)]
-pub(crate) struct OpenStream(Arc<Activity>);
+pub(crate) struct OpenStreamGuard(Arc<ConnectionActivity>);
 
-impl Drop for OpenStream {
+impl Drop for OpenStreamGuard {
     fn drop(&mut self) {
         self.0.counts.send_modify(|counts| counts.streams -= 1);
     }
 }
 
-/// A reply that someone waits for.
+/// Counts a reply as awaited until dropped.
 #[derive(Debug)]
-pub(crate) struct AwaitedReply(Arc<Activity>);
+pub(crate) struct AwaitedReplyGuard(Arc<ConnectionActivity>);
 
-impl Drop for AwaitedReply {
+impl Drop for AwaitedReplyGuard {
     fn drop(&mut self) {
         self.0.counts.send_modify(|counts| counts.awaited -= 1);
     }
--- a/src/adapters/peer/mod.rs
+++ b/src/adapters/peer/mod.rs
@@ -1,4 +1,4 @@
-//! h2 streams with bincode between the system's own processes.
+//! Calls and sessions between entries and agents: h2 streams with bincode messages.
 
 mod activity;
 mod awaited_tasks;
@@ -14,8 +14,8 @@
 mod tests;
 
 pub(crate) use {
-    counted_socket::counted,
-    frame_pump::{SessionEnds, run_session},
+    counted_socket::with_byte_counter,
+    frame_pump::{SessionChannels, run_session},
     h2_client::H2Client,
     h2_server::{PeerHandler, RunnerSession, serve_peers},
 };
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -69,7 +69,7 @@
 }
 
 fn connection_lost() -> Result<PeerReply, PeerError> {
-    Err(PeerError::Lost("connection cut".to_owned()))
+    Err(PeerError::OutcomeUnknown("connection cut".to_owned()))
 }
 
 fn unreachable() -> Result<PeerReply, PeerError> {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -210,7 +210,7 @@
                 Ok(report(status))
             }
             Ok(Ok(_)) => Err(home_unreachable()),
-            Ok(Err(PeerError::Unreachable(_) | PeerError::Lost(_))) | Err(_) => {
+            Ok(Err(PeerError::Unreachable(_) | PeerError::OutcomeUnknown(_))) | Err(_) => {
                 self.state.record_call_failure(ticket.id.home);
                 Err(home_unreachable())
             }
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! The borders: traits behind which the network, the platform, time and metrics stand.
+//! Traits that separate the core from the network, the platform, clocks and metrics.
 
 mod backend_server;
 mod decision_log;
@@ -17,7 +17,7 @@
     backend_server::BackendServer,
     decision_log::{DecisionLog, LogPriority, log_decision},
     feed_cursor::FeedCursor,
-    metrics::{Counter, Gauge, Metrics, Span},
+    metrics::{Counter, Gauge, Histogram, Metrics},
     peer_network::{PeerError, PeerNetwork, SessionIo},
     site_store::{EntryListChange, EntryListReplica, OperatorChange, OperatorRows, SiteStore},
     store::{Check, ObjectStore, Put, Row, StoreError, Table, Transaction, TransactionOutcome},
