--- a/src/adapters/http/config_body.rs
+++ b/src/adapters/http/config_body.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conf::split_version_mark,
+        conf::split_version_comment,
         core::config::{BasedOn, SECTIONS},
         entry::based_on_all,
     },
@@ -41,7 +41,7 @@
         match body {
             Some(Self::Version(version)) => Ok(based_on_all(version)),
             Some(Self::Sections(stated)) => by_section(&stated),
-            None => Ok(based_on_all(split_version_mark(text).0.unwrap_or(0))),
+            None => Ok(based_on_all(split_version_comment(text).0.unwrap_or(0))),
         }
     }
 }
--- a/src/cli/commands/check.rs
+++ b/src/cli/commands/check.rs
@@ -3,7 +3,9 @@
 use {
     crate::{
         cli::{RunError, args::CheckKind},
-        conf::{AgentProgram, ConfError, EntryProgram, load_settings, read_document},
+        conf::{
+            AgentProgramSettings, ConfError, EntryProgramSettings, load_settings, read_document,
+        },
     },
     serde_json::json,
     std::path::Path,
@@ -13,8 +15,8 @@
 pub(crate) fn check(file: &Path, kind: CheckKind, as_json: bool) -> Result<(), RunError> {
     let result = match kind {
         CheckKind::Document => check_document(file),
-        CheckKind::Entry => load_settings(file, EntryProgram::read).map(|_| ()),
-        CheckKind::Agent => load_settings(file, AgentProgram::read).map(|_| ()),
+        CheckKind::Entry => load_settings(file, EntryProgramSettings::read).map(|_| ()),
+        CheckKind::Agent => load_settings(file, AgentProgramSettings::read).map(|_| ()),
     };
     if as_json {
         let faults = match &result {
--- a/src/cli/commands/config.rs
+++ b/src/cli/commands/config.rs
@@ -1,10 +1,10 @@
 //! `rattanslip apply`, `diff`, `show`, `history` and `zone`.
 
 use {
-    super::words::{describe_change, time_of},
+    super::describe::{change_time, describe_change},
     crate::{
         cli::{RunError, operator_client::OperatorClient},
-        conf::with_version_mark,
+        conf::with_version_comment,
     },
     http::Method,
     serde_json::{Value, json},
@@ -40,10 +40,10 @@
     change: &DocumentChange<'_>,
     as_json: bool,
 ) -> Result<(), RunError> {
-    let reply = client
-        .json(Method::POST, "/v1/config", change.body()?)
+    let response = client
+        .request_json(Method::POST, "/v1/config", change.body()?)
         .await?;
-    print_accepted(&reply, as_json);
+    print_change(&response, as_json);
     Ok(())
 }
 
@@ -53,15 +53,15 @@
     change: &DocumentChange<'_>,
     as_json: bool,
 ) -> Result<(), RunError> {
-    let reply = client
-        .json(Method::POST, "/v1/config/diff", change.body()?)
+    let response = client
+        .request_json(Method::POST, "/v1/config/diff", change.body()?)
         .await?;
     if as_json {
-        println!("{reply}");
+        println!("{response}");
         return Ok(());
     }
-    println!("against version {}:", reply["version"]);
-    print!("{}", describe_change(&reply));
+    println!("against version {}:", response["version"]);
+    print!("{}", describe_change(&response));
     Ok(())
 }
 
@@ -75,14 +75,16 @@
         Some(version) => format!("/v1/config?version={version}"),
         None => "/v1/config".to_owned(),
     };
-    let held = client.json(Method::GET, &path, String::new()).await?;
+    let config = client
+        .request_json(Method::GET, &path, String::new())
+        .await?;
     if as_json {
-        println!("{held}");
+        println!("{config}");
         return Ok(());
     }
-    let text = held["text"].as_str().unwrap_or_default();
-    let version = held["version"].as_u64().unwrap_or(0);
-    print!("{}", with_version_mark(version, text));
+    let text = config["text"].as_str().unwrap_or_default();
+    let version = config["version"].as_u64().unwrap_or(0);
+    print!("{}", with_version_comment(version, text));
     Ok(())
 }
 
@@ -96,7 +98,9 @@
         Some(last) => format!("/v1/config/history?last={last}"),
         None => "/v1/config/history".to_owned(),
     };
-    let heads = client.json(Method::GET, &path, String::new()).await?;
+    let heads = client
+        .request_json(Method::GET, &path, String::new())
+        .await?;
     if as_json {
         println!("{heads}");
         return Ok(());
@@ -106,7 +110,7 @@
         for (section, change) in head["sections"].as_object().into_iter().flatten() {
             if change["version"] == head["version"] {
                 let author = change["author"].as_str().unwrap_or_default();
-                let time = time_of(change);
+                let time = change_time(change);
                 let version = head["version"].as_u64().unwrap_or_default();
                 println!("{version:>7}  {section:<9}  {time:<20}  {author}");
             }
@@ -119,31 +123,33 @@
 pub(crate) async fn set_zone(
     client: &OperatorClient,
     zone: &str,
-    way: &str,
+    state: &str,
     last: bool,
     as_json: bool,
 ) -> Result<(), RunError> {
-    let path = format!("/v1/zones/{zone}/{way}?last={last}");
-    let reply = client.json(Method::POST, &path, String::new()).await?;
-    print_accepted(&reply, as_json);
+    let path = format!("/v1/zones/{zone}/{state}?last={last}");
+    let response = client
+        .request_json(Method::POST, &path, String::new())
+        .await?;
+    print_change(&response, as_json);
     Ok(())
 }
 
-fn print_accepted(reply: &Value, as_json: bool) {
+fn print_change(response: &Value, as_json: bool) {
     if as_json {
-        println!("{reply}");
+        println!("{response}");
         return;
     }
-    let is_change = reply["sections"]
+    let is_change = response["sections"]
         .as_array()
         .is_some_and(|sections| !sections.is_empty());
-    let word = if is_change {
+    let status = if is_change {
         "accepted as"
     } else {
         "unchanged:"
     };
-    println!("{word} version {}", reply["version"]);
+    println!("{status} version {}", response["version"]);
     if is_change {
-        print!("{}", describe_change(reply));
+        print!("{}", describe_change(response));
     }
 }
--- a/src/cli/commands/words.rs
+++ b/src/cli/commands/describe.rs
@@ -3,17 +3,17 @@
 use {jiff::Timestamp, serde_json::Value, std::fmt::Write};
 
 /// What a change does, a line each.
-pub(crate) fn describe_change(reply: &Value) -> String {
+pub(crate) fn describe_change(response: &Value) -> String {
     let mut text = String::new();
-    for difference in reply["differences"].as_array().into_iter().flatten() {
-        let words = difference["words"].as_str().unwrap_or_default();
+    for difference in response["differences"].as_array().into_iter().flatten() {
+        let line = difference["words"].as_str().unwrap_or_default();
         // Writing to a string can't fail.
-        let _ = writeln!(text, "  {words}");
+        let _ = writeln!(text, "  {line}");
     }
     if !text.is_empty() {
         return text;
     }
-    let sections: Vec<&str> = reply["sections"]
+    let sections: Vec<&str> = response["sections"]
         .as_array()
         .into_iter()
         .flatten()
@@ -36,17 +36,17 @@
                 "section {}: changed by {} at {} in version {}; your document was made from version {}",
                 conflict["section"].as_str().unwrap_or_default(),
                 conflict["author"].as_str().unwrap_or_default(),
-                time_of(conflict),
+                change_time(conflict),
                 conflict["version"],
                 conflict["based_on"],
             )
         })
         .collect();
-    let based_on_nothing = conflicts
+    let lacks_base_version = conflicts
         .into_iter()
         .flatten()
         .any(|conflict| conflict["based_on"] == 0);
-    if based_on_nothing {
+    if lacks_base_version {
         lines.push(
             "say what it was made from: --based-on VERSION, or edit what `show` prints".to_owned(),
         );
@@ -55,7 +55,7 @@
 }
 
 /// The time of a section's last change, in UTC.
-pub(crate) fn time_of(change: &Value) -> String {
+pub(crate) fn change_time(change: &Value) -> String {
     change["changed_at_ms"]
         .as_i64()
         .and_then(|ms| Timestamp::from_millisecond(ms).ok())
--- a/src/cli/commands/answer_check.rs
+++ b/src/cli/commands/digest_check.rs
@@ -16,11 +16,11 @@
 ///
 /// Guards against an answer that was cut or mixed up on its way from the home to this shell: its
 /// tasks no longer give the digest that the home made.
-pub(crate) fn check_answer(answer: &Value) -> Result<bool, RunError> {
-    if answer["digest"].is_null() {
+pub(crate) fn verify_digest(response: &Value) -> Result<bool, RunError> {
+    if response["digest"].is_null() {
         return Ok(false);
     }
-    match whole(answer) {
+    match is_intact(response) {
         Some(true) => Ok(true),
         _ => Err(RunError::Failed(
             "the answer is damaged: its count or digest is wrong; ask again".to_owned(),
@@ -29,21 +29,21 @@
 }
 
 /// Whether count and digest are right; `None` if a field is missing or can't be read.
-fn whole(answer: &Value) -> Option<bool> {
-    let ticket: Ticket = answer["ticket"].as_str()?.parse().ok()?;
-    let digest = blake3::Hash::from_hex(answer["digest"].as_str()?).ok()?;
-    let count = usize::try_from(answer["task_count"].as_u64()?).ok()?;
-    let tasks = answer["tasks"].as_array()?;
-    let sealed = JobAnswer {
+fn is_intact(response: &Value) -> Option<bool> {
+    let ticket: Ticket = response["ticket"].as_str()?.parse().ok()?;
+    let digest = blake3::Hash::from_hex(response["digest"].as_str()?).ok()?;
+    let count = usize::try_from(response["task_count"].as_u64()?).ok()?;
+    let tasks = response["tasks"].as_array()?;
+    let job_answer = JobAnswer {
         ticket: ticket.id,
         verdict: Verdict::Done,
-        outcomes: tasks.iter().map(outcome).collect::<Option<_>>()?,
+        outcomes: tasks.iter().map(task_outcome).collect::<Option<_>>()?,
         digest: *digest.as_bytes(),
     };
-    Some(sealed.is_complete(&ticket.id, count))
+    Some(job_answer.is_complete(&ticket.id, count))
 }
 
-fn outcome(task: &Value) -> Option<TaskOutcome> {
+fn task_outcome(task: &Value) -> Option<TaskOutcome> {
     let reason = task["reason"].as_str().unwrap_or_default();
     let output = || task["output"].as_str().map(str::to_owned);
     Some(match task["verdict"].as_str()? {
--- a/src/cli/commands/explain.rs
+++ b/src/cli/commands/explain.rs
@@ -10,11 +10,11 @@
 };
 
 /// Pause between two lines that is pointed out, in milliseconds: most steps of a request take less.
-const GAP_MS: u64 = 500;
+const MIN_SHOWN_GAP_MS: u64 = 500;
 /// Fields that stand in a line's first columns.
-const COLUMNS: [&str; 4] = ["at_unix_ms", "process", "event", "job"];
+const COLUMN_FIELDS: [&str; 4] = ["at_unix_ms", "process", "event", "job"];
 /// Events that decide how a request ends.
-const DECISIVE: [&str; 6] = [
+const DECISIVE_EVENTS: [&str; 6] = [
     "job_refused",
     "job_answered",
     "job_isolated",
@@ -36,25 +36,25 @@
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<(), RunError> {
     let mut lines = Vec::new();
     for file in files {
-        lines.extend(lines_of(id, file)?);
+        lines.extend(read_matching_lines(id, file)?);
     }
     if lines.is_empty() {
         return Err(RunError::Failed(format!("no line names {id}")));
     }
     lines.sort_by_key(|line| line.at_unix_ms);
-    print!("{}", timeline(&lines));
+    print!("{}", format_timeline(&lines));
     Ok(())
 }
 
-fn lines_of(id: &str, file: &Path) -> Result<Vec<DecisionLine>, RunError> {
+fn read_matching_lines(id: &str, file: &Path) -> Result<Vec<DecisionLine>, RunError> {
     let text = fs::read_to_string(file)
         .map_err(|error| RunError::Usage(format!("{}: {error}", file.display())))?;
     let lines = text.lines().filter(|line| line.contains(id));
-    Ok(lines.filter_map(read_line).collect())
+    Ok(lines.filter_map(parse_line).collect())
 }
 
 /// A decision line; other output of a process is none.
-fn read_line(line: &str) -> Option<DecisionLine> {
+fn parse_line(line: &str) -> Option<DecisionLine> {
     let fields: Map<String, Value> = serde_json::from_str(line).ok()?;
     let text = |field: &str| Some(fields.get(field)?.as_str()?.to_owned());
     Some(DecisionLine {
@@ -65,17 +65,17 @@
     })
 }
 
-fn timeline(lines: &[DecisionLine]) -> String {
+fn format_timeline(lines: &[DecisionLine]) -> String {
     let mut text = String::new();
     let first_ms = lines.first().map_or(0, |line| line.at_unix_ms);
     let mut before_ms = first_ms;
     for line in lines {
         let gap_ms = line.at_unix_ms.saturating_sub(before_ms);
-        if gap_ms >= GAP_MS {
+        if gap_ms >= MIN_SHOWN_GAP_MS {
             text.push_str(&format!("          ... {gap_ms} ms\n"));
         }
         before_ms = line.at_unix_ms;
-        let mark = if DECISIVE.contains(&line.event.as_str()) {
+        let mark = if DECISIVE_EVENTS.contains(&line.event.as_str()) {
             '*'
         } else {
             ' '
@@ -84,7 +84,7 @@
         let fields = line
             .fields
             .iter()
-            .filter(|(name, _)| !COLUMNS.contains(&name.as_str()));
+            .filter(|(name, _)| !COLUMN_FIELDS.contains(&name.as_str()));
         let fields: Vec<String> = fields
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
@@ -98,8 +98,8 @@
 }
 
 #[cfg(test)]
-pub(super) fn timeline_of(id: &str, log: &str) -> String {
+pub(super) fn timeline_from_log(id: &str, log: &str) -> String {
     let lines = log.lines().filter(|line| line.contains(id));
-    let lines: Vec<DecisionLine> = lines.filter_map(read_line).collect();
-    timeline(&lines)
+    let lines: Vec<DecisionLine> = lines.filter_map(parse_line).collect();
+    format_timeline(&lines)
 }
--- a/src/cli/commands/jobs.rs
+++ b/src/cli/commands/jobs.rs
@@ -1,7 +1,7 @@
 //! `rattanslip submit`, `status` and `cancel`.
 
 use {
-    super::answer_check::check_answer,
+    super::digest_check::verify_digest,
     crate::{
         adapters::http::{HttpClientResponse, IDEMPOTENCY_KEY_HEADER, TICKET_HEADER},
         cli::{RunError, operator_client::OperatorClient},
@@ -24,20 +24,20 @@
     let identity = match (ticket, key) {
         (_, Some(key)) => (IDEMPOTENCY_KEY_HEADER, key),
         (Some(ticket), None) => (TICKET_HEADER, ticket),
-        (None, None) => (TICKET_HEADER, fresh_ticket(client).await?),
+        (None, None) => (TICKET_HEADER, request_ticket(client).await?),
     };
     let headers = [(identity.0, identity.1.as_str())];
-    let reply = client
+    let response = client
         .send(Method::POST, "/v1/jobs", &headers, body)
         .await?;
-    print_answer(&reply, as_json)
+    print_job(&response, as_json)
 }
 
-async fn fresh_ticket(client: &OperatorClient) -> Result<String, RunError> {
-    let reply = client
-        .json(Method::POST, "/v1/tickets", String::new())
+async fn request_ticket(client: &OperatorClient) -> Result<String, RunError> {
+    let response = client
+        .request_json(Method::POST, "/v1/tickets", String::new())
         .await?;
-    reply["tickets"][0]
+    response["tickets"][0]
         .as_str()
         .map(str::to_owned)
         .ok_or_else(|| RunError::Refused("the entry gave no ticket".to_owned()))
@@ -50,8 +50,8 @@
     as_json: bool,
 ) -> Result<(), RunError> {
     let path = format!("/v1/jobs/{ticket}");
-    let reply = client.send(Method::GET, &path, &[], String::new()).await?;
-    print_answer(&reply, as_json)
+    let response = client.send(Method::GET, &path, &[], String::new()).await?;
+    print_job(&response, as_json)
 }
 
 /// Gives a job up.
@@ -61,30 +61,30 @@
     as_json: bool,
 ) -> Result<(), RunError> {
     let path = format!("/v1/jobs/{ticket}");
-    let reply = client
+    let response = client
         .send(Method::DELETE, &path, &[], String::new())
         .await?;
-    print_answer(&reply, as_json)
+    print_job(&response, as_json)
 }
 
-fn print_answer(reply: &HttpClientResponse, as_json: bool) -> Result<(), RunError> {
-    let answer: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
-    let is_checked = check_answer(&answer)?;
+fn print_job(response: &HttpClientResponse, as_json: bool) -> Result<(), RunError> {
+    let job: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+    let is_checked = verify_digest(&job)?;
     if as_json {
-        println!("{}", reply.text());
+        println!("{}", response.text());
     } else {
-        print_for_people(&answer);
+        print_job_text(&job);
         if is_checked {
             println!("count and digest: checked");
         }
     }
-    if reply.status.is_success() {
+    if response.status.is_success() {
         return Ok(());
     }
-    Err(RunError::Refused(format!("status {}", reply.status)))
+    Err(RunError::Refused(format!("status {}", response.status)))
 }
 
-fn print_for_people(answer: &Value) {
+fn print_job_text(job: &Value) {
     for field in [
         "ticket",
         "verdict",
@@ -93,18 +93,18 @@
         "retry_after_ms",
         "digest",
     ] {
-        match &answer[field] {
+        match &job[field] {
             Value::Null => {}
             Value::String(text) => println!("{field}: {text}"),
             value => println!("{field}: {value}"),
         }
     }
-    let tasks = answer["tasks"].as_array().map_or(&[][..], Vec::as_slice);
+    let tasks = job["tasks"].as_array().map_or(&[][..], Vec::as_slice);
     let done = tasks
         .iter()
         .filter(|task| task["verdict"] == "done")
         .count();
-    if let Some(count) = answer["task_count"].as_u64() {
+    if let Some(count) = job["task_count"].as_u64() {
         println!("tasks: {done} of {count} done");
     }
     for (index, task) in tasks.iter().enumerate() {
--- a/src/cli/commands/mod.rs
+++ b/src/cli/commands/mod.rs
@@ -1,16 +1,16 @@
 //! What each command of `rattanslip` does.
 
-mod answer_check;
 mod check;
 mod config;
+mod describe;
+mod digest_check;
 mod explain;
 mod hash_token;
 mod jobs;
 mod run;
-mod words;
 mod workers;
 
 #[cfg(test)]
 mod tests;
 
-pub(crate) use {run::run, words::describe_conflicts};
+pub(crate) use {describe::describe_conflicts, run::run};
--- a/src/cli/commands/run.rs
+++ b/src/cli/commands/run.rs
@@ -25,7 +25,7 @@
         return hash_token::hash_token();
     }
     let as_json = args.json;
-    let client = OperatorClient::new(args.entry, args.token.as_deref())?.printing_refusals(as_json);
+    let client = OperatorClient::new(args.entry, args.token.as_deref())?.printing_errors(as_json);
     match args.command {
         OperatorCommand::Check { .. }
         | OperatorCommand::Explain { .. }
--- a/src/cli/commands/tests.rs
+++ b/src/cli/commands/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the check that the command line makes of each answer.
 
 use {
-    super::answer_check::check_answer,
+    super::digest_check::verify_digest,
     crate::core::{
         job::{JobAnswer, TaskOutcome},
         ticket::{AgentId, GrantSecret},
@@ -11,7 +11,7 @@
 };
 
 /// An answer with each kind of outcome, as the entry prints it.
-fn printed() -> Value {
+fn job_response() -> Value {
     let ticket = GrantSecret::new([3; 32]).grant(AgentId(7), 1, 1).ticket(0);
     let outcomes = vec![
         TaskOutcome::Done {
@@ -43,61 +43,61 @@
     })
 }
 
-macro_rules! damaged_cases {
+macro_rules! damaged_response_cases {
     ($($name:ident: $damage:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                let mut answer = printed();
+                let mut response = job_response();
                 let damage: fn(&mut Value) = $damage;
-                damage(&mut answer);
-                assert!(check_answer(&answer).is_err());
+                damage(&mut response);
+                assert!(verify_digest(&response).is_err());
             }
         )+
     };
 }
 
 #[test]
-fn a_whole_answer_passes_and_one_without_digest_is_not_checked() {
-    assert!(check_answer(&printed()).is_ok_and(|checked| checked));
+fn intact_response_passes_and_one_without_digest_is_not_checked() {
+    assert!(verify_digest(&job_response()).is_ok_and(|checked| checked));
     let running = json!({ "verdict": "running", "ended": 1 });
-    assert!(check_answer(&running).is_ok_and(|checked| !checked));
+    assert!(verify_digest(&running).is_ok_and(|checked| !checked));
 }
 
-damaged_cases! {
-    another_output_is_found: |answer| answer["tasks"][0]["output"] = json!("paid twice");
-    a_failure_shown_as_done_is_found: |answer| answer["tasks"][1]["verdict"] = json!("done");
-    a_missing_task_is_found: |answer| {
-        answer["tasks"].as_array_mut().map(Vec::pop);
+damaged_response_cases! {
+    changed_output_is_detected: |response| response["tasks"][0]["output"] = json!("paid twice");
+    failure_shown_as_done_is_detected: |response| response["tasks"][1]["verdict"] = json!("done");
+    missing_task_is_detected: |response| {
+        response["tasks"].as_array_mut().map(Vec::pop);
     };
-    another_count_is_found: |answer| answer["task_count"] = json!(5);
-    an_unknown_reason_is_found: |answer| answer["tasks"][2]["reason"] = json!("mood");
-    another_ticket_is_found: |answer| {
+    changed_count_is_detected: |response| response["task_count"] = json!(5);
+    unknown_reason_is_detected: |response| response["tasks"][2]["reason"] = json!("mood");
+    changed_ticket_is_detected: |response| {
         let other = GrantSecret::new([3; 32]).grant(AgentId(8), 1, 1).ticket(0);
-        answer["ticket"] = json!(other.to_string());
+        response["ticket"] = json!(other.to_string());
     };
 }
 
 /// An on-call engineer has the logs of two hosts in any order and looks for one job: its lines come in order of
 /// time, the decisive ones and the gap before them are marked, and other jobs are left out.
 #[test]
-fn an_explained_job_is_told_in_order() {
+fn explain_sorts_lines_and_skips_other_jobs() {
     let log = r#"{"at_unix_ms":5900,"process":"entry-1","event":"run_lost","job":"aa","run":"aa.0.0#1","end":"lost"}
 {"at_unix_ms":5000,"process":"entry-1","event":"job_taken","job":"aa","tasks":2}
 {"at_unix_ms":5100,"process":"entry-1","event":"job_taken","job":"bb","tasks":1}
 no decision line, though it names "aa""#;
     let lines: Vec<&str> = log.lines().collect();
     let sorted = [lines[1], lines[0], lines[2], lines[3]].join("\n");
-    let text = super::explain::timeline_of("\"aa\"", &sorted);
-    let told: Vec<&str> = text.lines().collect();
-    assert_eq!(told.len(), 3, "{text}");
+    let text = super::explain::timeline_from_log("\"aa\"", &sorted);
+    let rows: Vec<&str> = text.lines().collect();
+    assert_eq!(rows.len(), 3, "{text}");
     assert!(
-        told[0].starts_with("        0 ms  entry-1") && told[0].ends_with("tasks=2"),
+        rows[0].starts_with("        0 ms  entry-1") && rows[0].ends_with("tasks=2"),
         "{text}"
     );
-    assert!(told[1].contains("... 900 ms"), "{text}");
+    assert!(rows[1].contains("... 900 ms"), "{text}");
     assert!(
-        told[2].starts_with("*     900 ms") && told[2].contains("end=\"lost\""),
+        rows[2].starts_with("*     900 ms") && rows[2].contains("end=\"lost\""),
         "{text}"
     );
 }
--- a/src/cli/commands/workers.rs
+++ b/src/cli/commands/workers.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cli::{RunError, operator_client::OperatorClient},
-        conf::{DocumentRules, read_document_by},
+        conf::{DocumentRules, read_document_with},
         core::config::Document,
     },
     http::Method,
@@ -14,13 +14,13 @@
 /// Lists workers as the entry sees them, and declared ones that it doesn't see, by name.
 pub(crate) async fn list(client: &OperatorClient, as_json: bool) -> Result<(), RunError> {
     let mut workers = client
-        .json(Method::GET, "/v1/workers", String::new())
+        .request_json(Method::GET, "/v1/workers", String::new())
         .await?;
-    let held = client
-        .json(Method::GET, "/v1/config", String::new())
+    let config = client
+        .request_json(Method::GET, "/v1/config", String::new())
         .await?;
-    let text = held["text"].as_str().unwrap_or_default();
-    let document = read_document_by(text, &DocumentRules::Accepted).unwrap_or_default();
+    let text = config["text"].as_str().unwrap_or_default();
+    let document = read_document_with(text, &DocumentRules::Accepted).unwrap_or_default();
     let absent = absent_workers(&workers, &document);
     if let Some(workers) = workers.as_array_mut() {
         workers.extend(absent);
@@ -35,7 +35,7 @@
         "worker", "zone", "slots", "free", "silent ms"
     );
     for worker in workers.as_array().into_iter().flatten() {
-        println!("{}", row(worker));
+        println!("{}", format_row(worker));
     }
     Ok(())
 }
@@ -63,7 +63,7 @@
         .collect()
 }
 
-fn row(worker: &Value) -> String {
+fn format_row(worker: &Value) -> String {
     let services: Vec<&str> = worker["services"]
         .as_array()
         .into_iter()
@@ -79,14 +79,14 @@
         "{:<12} {:<14} {:>5} {:>5} {:>9}  {state}",
         worker["worker"].as_str().unwrap_or_default(),
         worker["availability_zone"].as_str().unwrap_or_default(),
-        number(&worker["slots"]),
-        number(&worker["free_slots"]),
-        number(&worker["silent_ms"]),
+        format_number(&worker["slots"]),
+        format_number(&worker["free_slots"]),
+        format_number(&worker["silent_ms"]),
     )
 }
 
 /// A number, or a dash for what isn't known.
-fn number(value: &Value) -> String {
+fn format_number(value: &Value) -> String {
     value
         .as_u64()
         .map_or_else(|| "-".to_owned(), |number| number.to_string())
--- a/src/cli/errors.rs
+++ b/src/cli/errors.rs
@@ -41,7 +41,7 @@
             display("{}", detail)
         }
         /// The entry found faults in a document.
-        BadDocument(detail: String) {
+        InvalidDocument(detail: String) {
             display("{}", detail)
         }
         /// An argument is missing or can't be used.
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -5,7 +5,7 @@
 /// Something went wrong while running.
 const FAILED: u8 = 1;
 /// Bad settings, a bad document or bad usage.
-const BAD_INPUT: u8 = 2;
+const INVALID_INPUT: u8 = 2;
 /// The entry could not be reached.
 const UNREACHABLE: u8 = 3;
 /// The entry refused.
@@ -18,7 +18,7 @@
     };
     eprintln!("{error}");
     let code = match error {
-        RunError::Conf(_) | RunError::Usage(_) | RunError::BadDocument(_) => BAD_INPUT,
+        RunError::Conf(_) | RunError::Usage(_) | RunError::InvalidDocument(_) => INVALID_INPUT,
         RunError::Unreachable(_) => UNREACHABLE,
         RunError::Refused(_) => REFUSED,
         RunError::Listen(..)
--- a/src/cli/mains.rs
+++ b/src/cli/mains.rs
@@ -10,7 +10,7 @@
     crate::{
         adapters::logging::init_logging,
         agent::run_agent,
-        conf::{AgentProgram, EntryProgram, load_settings},
+        conf::{AgentProgramSettings, EntryProgramSettings, load_settings},
         entry::run_entry,
         load::run_load,
         site_agent::run_site_agent,
@@ -25,11 +25,11 @@
 };
 
 /// Threads of a service process; each shares its host with a backend server or other entries.
-const WORKER_THREADS: usize = 2;
+const RUNTIME_THREADS: usize = 2;
 
 fn block_on(work: impl Future<Output = Result<(), RunError>>) -> Result<(), RunError> {
     Builder::new_multi_thread()
-        .worker_threads(WORKER_THREADS)
+        .worker_threads(RUNTIME_THREADS)
         .enable_all()
         .build()
         .map_err(RunError::Runtime)?
@@ -52,11 +52,11 @@
 }
 
 fn run_entry_with(args: &EntryArgs) -> Result<(), RunError> {
-    let program = load_settings(&args.settings, EntryProgram::read)?;
-    init_logging(program.log());
-    match program {
-        EntryProgram::Standalone(settings) => block_on(run_entry(settings)),
-        EntryProgram::Site(settings) => block_on_one_thread(run_site_entry(settings)),
+    let program_settings = load_settings(&args.settings, EntryProgramSettings::read)?;
+    init_logging(program_settings.log());
+    match program_settings {
+        EntryProgramSettings::Standalone(settings) => block_on(run_entry(settings)),
+        EntryProgramSettings::Site(settings) => block_on_one_thread(run_site_entry(settings)),
     }
 }
 
@@ -67,11 +67,11 @@
 }
 
 fn run_agent_with(args: &AgentArgs) -> Result<(), RunError> {
-    let program = load_settings(&args.settings, AgentProgram::read)?;
-    init_logging(program.log());
-    match program {
-        AgentProgram::Standalone(settings) => block_on(run_agent(settings)),
-        AgentProgram::Site(settings) => block_on_one_thread(run_site_agent(settings)),
+    let program_settings = load_settings(&args.settings, AgentProgramSettings::read)?;
+    init_logging(program_settings.log());
+    match program_settings {
+        AgentProgramSettings::Standalone(settings) => block_on(run_agent(settings)),
+        AgentProgramSettings::Site(settings) => block_on_one_thread(run_site_agent(settings)),
     }
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -17,7 +17,7 @@
     errors::RunError,
     listen::listen,
     operator_client::OperatorClient,
-    signals::{reload_signals, stop_signal},
+    signals::{log_reload_signals, stop_signal},
 };
 
 pub use mains::{agent_main, entry_main, load_main, operator_main, standin_main};
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -14,7 +14,7 @@
     client: HttpClient,
     entry: SocketAddr,
     authorization: Option<String>,
-    prints_refusals: bool,
+    prints_errors: bool,
 }
 
 impl OperatorClient {
@@ -27,14 +27,14 @@
             client: HttpClient::new(),
             entry,
             authorization: token.map(|token| format!("Bearer {token}")),
-            prints_refusals: false,
+            prints_errors: false,
         })
     }
 
     /// The same client, which also prints refusals as the entry sent them if asked to.
-    pub(crate) fn printing_refusals(self, prints_refusals: bool) -> Self {
+    pub(crate) fn printing_errors(self, prints_errors: bool) -> Self {
         Self {
-            prints_refusals,
+            prints_errors,
             ..self
         }
     }
@@ -59,32 +59,32 @@
     }
 
     /// Sends a request and returns the JSON of a success; a refusal is an error.
-    pub(crate) async fn json(
+    pub(crate) async fn request_json(
         &self,
         method: Method,
         path: &str,
         body: String,
     ) -> Result<Value, RunError> {
-        let reply = self.send(method, path, &[], body).await?;
-        let value: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
-        if reply.status.is_success() {
+        let response = self.send(method, path, &[], body).await?;
+        let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        if response.status.is_success() {
             return Ok(value);
         }
-        if self.prints_refusals {
+        if self.prints_errors {
             println!("{value}");
         }
-        let description = describe_refusal(&reply, &value);
-        Err(match (reply.status, value["detail"].is_array()) {
-            (StatusCode::BAD_REQUEST, true) => RunError::BadDocument(description),
+        let description = describe_error_response(&response, &value);
+        Err(match (response.status, value["detail"].is_array()) {
+            (StatusCode::BAD_REQUEST, true) => RunError::InvalidDocument(description),
             (StatusCode::GATEWAY_TIMEOUT, _) => RunError::Failed(description),
             _ => RunError::Refused(description),
         })
     }
 }
 
-fn describe_refusal(reply: &HttpClientResponse, value: &Value) -> String {
+fn describe_error_response(response: &HttpClientResponse, value: &Value) -> String {
     let error = value["error"].as_str().unwrap_or_default();
-    let mut lines = vec![format!("refused ({}): {error}", reply.status)];
+    let mut lines = vec![format!("refused ({}): {error}", response.status)];
     for fault in value["detail"].as_array().into_iter().flatten() {
         let line = &fault["line"];
         let field = fault["field"].as_str().unwrap_or_default();
--- a/src/cli/signals.rs
+++ b/src/cli/signals.rs
@@ -26,7 +26,7 @@
 }
 
 /// Notes each SIGHUP: all that such a process goes by lies in the store, so there is nothing to read anew.
-pub(crate) async fn reload_signals(decisions: Arc<dyn DecisionLog>) {
+pub(crate) async fn log_reload_signals(decisions: Arc<dyn DecisionLog>) {
     let Ok(mut reloads) = signal(SignalKind::hangup()) else {
         log::error!("SIGHUP can't be received; it would end the process");
         return;
--- a/src/conf/agent_settings.rs
+++ b/src/conf/agent_settings.rs
@@ -79,7 +79,7 @@
             log: reader.table("log", LogSettings::read),
         };
         if settings.entries.is_empty() {
-            reader.fault("entries", "must name at least one entry");
+            reader.report_fault("entries", "must name at least one entry");
         }
         settings
     }
--- a/src/conf/document_reader.rs
+++ b/src/conf/document_reader.rs
@@ -11,29 +11,32 @@
 
 /// Reads a document by all rules; every fault is reported at once.
 pub(crate) fn read_document(text: &str) -> Result<Document, Vec<Fault>> {
-    read_document_by(text, &DocumentRules::Whole)
+    read_document_with(text, &DocumentRules::Complete)
 }
 
 /// Reads a document by these rules; every fault is reported at once.
-pub(crate) fn read_document_by(text: &str, rules: &DocumentRules) -> Result<Document, Vec<Fault>> {
+pub(crate) fn read_document_with(
+    text: &str,
+    rules: &DocumentRules,
+) -> Result<Document, Vec<Fault>> {
     TableReader::read_text(text, |root| {
         for section in SECTIONS {
             root.require_header(section);
         }
-        let zones = root.table("zones", |table| named(table, read_zone));
+        let zones = root.table("zones", |table| read_named_tables(table, read_zone));
         let workers = root.table("capacity", |capacity| {
-            capacity.table("workers", |table| named(table, read_worker))
+            capacity.table("workers", |table| read_named_tables(table, read_worker))
         });
-        let services = root.table("services", |table| named(table, read_service));
-        let quotas = root.table("quotas", |table| named(table, read_quota));
+        let services = root.table("services", |table| read_named_tables(table, read_service));
+        let quotas = root.table("quotas", |table| read_named_tables(table, read_quota));
         let document = Document {
             workers,
             services,
             zones,
             quotas,
         };
-        if rules.compares_sections() {
-            compare_sections(root, &document);
+        if rules.checks_across_sections() {
+            check_across_sections(root, &document);
         }
         if let DocumentRules::Change { open_now } = rules {
             check_last_zone(root, &document, open_now);
@@ -43,7 +46,7 @@
 }
 
 /// Reads each table within `table` as a named thing.
-fn named<T>(
+fn read_named_tables<T>(
     table: &mut TableReader<'_>,
     mut read: impl FnMut(&mut TableReader<'_>) -> T,
 ) -> BTreeMap<String, T> {
@@ -82,7 +85,7 @@
 fn read_service(service: &mut TableReader<'_>) -> Service {
     let availability_zones = service.strings("availability_zones");
     if availability_zones.is_empty() {
-        service.fault("availability_zones", "must name at least one");
+        service.report_fault("availability_zones", "must name at least one");
     }
     Service {
         availability_zones,
@@ -101,9 +104,9 @@
 }
 
 /// Holds the sections against each other.
-fn compare_sections(root: &TableReader<'_>, document: &Document) {
+fn check_across_sections(root: &TableReader<'_>, document: &Document) {
     if document.zones.is_empty() {
-        root.fault("zones", "must have at least one availability zone");
+        root.report_fault("zones", "must have at least one availability zone");
     }
     for (name, worker) in &document.workers {
         let zone = &worker.availability_zone;
@@ -131,7 +134,7 @@
         _ => "availability_zone",
     };
     let path: Vec<&str> = table.iter().copied().chain([field]).collect();
-    root.fault_at(&path, format!("no availability zone is named \"{zone}\""));
+    root.report_fault_at(&path, format!("no availability zone is named \"{zone}\""));
 }
 
 /// A service must fit some declared worker; one that has not arrived yet counts.
@@ -144,7 +147,7 @@
             && worker.accelerators >= service.accelerators
     });
     if !runnable {
-        root.fault_at(
+        root.report_fault_at(
             &["services", name, "availability_zones"],
             "no worker of these availability zones could ever run this service",
         );
@@ -155,7 +158,7 @@
     let declared = document.declared_slots();
     if u64::from(quota.slots) > declared {
         let message = format!("is above the {declared} slots of all declared workers");
-        root.fault_at(&["quotas", name, "slots"], message);
+        root.report_fault_at(&["quotas", name, "slots"], message);
     }
 }
 
@@ -165,7 +168,7 @@
         return;
     }
     for zone in open_now {
-        root.fault_at(
+        root.report_fault_at(
             &["zones", zone, "state"],
             "closes the last open availability zone; say so with --close-last-zone",
         );
--- a/src/conf/document_rules.rs
+++ b/src/conf/document_rules.rs
@@ -9,7 +9,7 @@
     /// an entry from reading the configuration in force.
     Accepted,
     /// All rules on its own.
-    Whole,
+    Complete,
     /// All rules; and of the availability zones that are open now, one stays open.
     Change {
         /// The zones that are open now.
@@ -19,7 +19,7 @@
 
 impl DocumentRules {
     /// Whether sections are held against each other.
-    pub(crate) const fn compares_sections(&self) -> bool {
-        matches!(self, Self::Whole | Self::Change { .. })
+    pub(crate) const fn checks_across_sections(&self) -> bool {
+        matches!(self, Self::Complete | Self::Change { .. })
     }
 }
--- a/src/conf/document_tests.rs
+++ b/src/conf/document_tests.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        DocumentRules, merge_sections, read_document, read_document_by, section_texts,
-        split_version_mark, with_version_mark, with_zone_state,
+        DocumentRules, merge_sections, read_document, read_document_with, section_texts,
+        split_version_comment, with_version_comment, with_zone_state,
     },
     crate::core::config::{SECTIONS, ZoneState},
     proptest::{
@@ -46,7 +46,7 @@
 "#;
 
 fn faults(text: &str, rules: &DocumentRules) -> Vec<String> {
-    read_document_by(text, rules)
+    read_document_with(text, rules)
         .err()
         .unwrap_or_default()
         .iter()
@@ -54,7 +54,7 @@
         .collect()
 }
 
-fn config(cases: u32) -> Config {
+fn proptest_config(cases: u32) -> Config {
     Config {
         cases,
         failure_persistence: None,
@@ -62,7 +62,7 @@
     }
 }
 
-macro_rules! refused {
+macro_rules! rejected {
     ($($name:ident: $from:literal => $to:literal: $faults:expr;)+) => {
         $(
             #[test]
@@ -70,13 +70,13 @@
                 let text = DOCUMENT.replace($from, $to);
                 assert_ne!(text, DOCUMENT, "the case changes nothing");
                 let expected: &[&str] = &$faults;
-                assert_eq!(faults(&text, &DocumentRules::Whole), expected);
+                assert_eq!(faults(&text, &DocumentRules::Complete), expected);
             }
         )+
     };
 }
 
-refused! {
+rejected! {
     unknown_field: "rack = \"r1\"" => "rakc = \"r1\"": [
         "line 9: capacity.workers.w01.rack: is required [capacity]",
         "line 11: capacity.workers.w01.rakc: unknown field [capacity]",
@@ -99,13 +99,13 @@
     duplicate_name: "[zones.keflavik]" => "[zones.grindavik]": [
         "line 6: duplicate key [zones]",
     ];
-    section_without_a_header: "[quotas.audit]\nslots = 16" => "[quotas]\naudit = { slots = 99 }": [
+    inline_section_is_checked_too: "[quotas.audit]\nslots = 16" => "[quotas]\naudit = { slots = 99 }": [
         "line 28: quotas.audit.slots: is above the 16 slots of all declared workers [quotas]",
     ];
 }
 
 #[test]
-fn faults_of_all_sections_come_at_once() {
+fn faults_of_all_sections_are_reported_together() {
     let text = DOCUMENT
         .replace("slots = 16", "slots = 17")
         .replace(
@@ -113,12 +113,12 @@
             "slots = 0\nmemory_mb = 1024\n\n",
         )
         .replace("\"keflavik\"]", "\"keflavk\"]");
-    let found = faults(&text, &DocumentRules::Whole);
+    let found = faults(&text, &DocumentRules::Complete);
     assert_eq!(found.len(), 3, "{found:?}");
 }
 
 #[test]
-fn a_worker_that_has_not_arrived_counts_as_declared() {
+fn worker_that_has_not_arrived_counts_as_capacity() {
     let needs_it = DOCUMENT.replace("\"keflavik\"]", "\"keflavik\"]\naccelerators = 2");
     let document = read_document(&needs_it).expect("no faults");
     assert!(!document.workers["w02"].arrived);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_last_open_zone_closes_only_when_said_so() {
+fn last_open_zone_closes_only_when_allowed() {
     let open_now: BTreeSet<String> = ["grindavik".to_owned()].into();
     let text = DOCUMENT
         .replace("state = \"open\"", "state = \"out\"")
@@ -138,7 +138,7 @@
             "line 4: zones.grindavik.state: closes the last open availability zone; say so with --close-last-zone [zones]"
         ]
     );
-    assert!(faults(&text, &DocumentRules::Whole).is_empty());
+    assert!(faults(&text, &DocumentRules::Complete).is_empty());
     assert!(faults(DOCUMENT, &change).is_empty());
     let closed = DocumentRules::Change {
         open_now: BTreeSet::new(),
@@ -147,30 +147,30 @@
 }
 
 #[test]
-fn an_accepted_document_is_read_even_if_a_later_rule_refuses_it() {
+fn accepted_document_is_read_despite_rules_added_later() {
     let text = DOCUMENT.replace("slots = 16", "slots = 17");
     assert!(read_document(&text).is_err());
-    assert!(read_document_by(&text, &DocumentRules::Accepted).is_ok());
+    assert!(read_document_with(&text, &DocumentRules::Accepted).is_ok());
 }
 
 #[test]
-fn a_zones_state_changes_and_nothing_else_does() {
+fn zone_state_edit_leaves_other_text_unchanged() {
     let out = with_zone_state(DOCUMENT, "grindavik", ZoneState::Out).expect("zone");
-    let wanted = DOCUMENT.replace("\"open\" # since", "\"out\" # since");
-    assert_eq!(out, wanted);
+    let expected = DOCUMENT.replace("\"open\" # since", "\"out\" # since");
+    assert_eq!(out, expected);
     assert_eq!(with_zone_state(DOCUMENT, "reykjavik", ZoneState::Out), None);
 }
 
 #[test]
-fn a_shown_document_reads_as_the_one_in_force() {
-    let shown = with_version_mark(7, EXAMPLE);
-    assert_eq!(split_version_mark(&shown), (Some(7), EXAMPLE));
-    assert_eq!(split_version_mark(EXAMPLE), (None, EXAMPLE));
+fn version_comment_does_not_change_the_document() {
+    let shown = with_version_comment(7, EXAMPLE);
+    assert_eq!(split_version_comment(&shown), (Some(7), EXAMPLE));
+    assert_eq!(split_version_comment(EXAMPLE), (None, EXAMPLE));
     assert_eq!(read_document(&shown), read_document(EXAMPLE));
 }
 
 /// A document of generated tables, with comments, blank lines and sections mixed in any order.
-fn generated(seed: &[(usize, u8, bool)], author: &str) -> String {
+fn generate_document(seed: &[(usize, u8, bool)], author: &str) -> String {
     let mut text = String::new();
     for (number, (section, value, comment)) in seed.iter().enumerate() {
         if *comment {
@@ -193,35 +193,40 @@
 /// Teams keep comments in their sections. After any merge each section's text is byte for byte
 /// that of the document it was taken from, and the result is a document again.
 #[test]
-fn merged_text_keeps_each_section_byte_for_byte() {
+fn merge_copies_each_section_byte_for_byte() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]);
-    let mut runner = TestRunner::new_with_rng(config(1_000), rng);
+    let mut runner = TestRunner::new_with_rng(proptest_config(1_000), rng);
     let tables = || prop::collection::vec((0_usize..4, any::<u8>(), any::<bool>()), 0..12);
     runner
-        .run(&(tables(), tables(), 0_u8..16), |(current, mine, mask)| {
-            let current = generated(&current, "theirs");
-            let mine = generated(&mine, "mine");
-            let taken: Vec<&'static str> = SECTIONS
+        .run(&(tables(), tables(), 0_u8..16), |(current, draft, mask)| {
+            let current = generate_document(&current, "theirs");
+            let draft = generate_document(&draft, "mine");
+            let changed: Vec<&'static str> = SECTIONS
                 .into_iter()
                 .enumerate()
                 .filter(|(index, _)| mask & (1 << index) != 0)
                 .map(|(_, section)| section)
                 .collect();
-            let merged = merge_sections(&current, &mine, &taken);
+            let merged = merge_sections(&current, &draft, &changed);
             prop_assert!(
                 toml_edit::Document::parse(merged.as_str()).is_ok(),
                 "{}",
                 merged
             );
-            let (theirs, ours) = (section_texts(&current), section_texts(&mine));
-            let got = section_texts(&merged);
+            let (current_texts, draft_texts) = (section_texts(&current), section_texts(&draft));
+            let merged_texts = section_texts(&merged);
             for section in SECTIONS {
-                let from = if taken.contains(&section) {
-                    &ours
+                let expected = if changed.contains(&section) {
+                    &draft_texts
                 } else {
-                    &theirs
+                    &current_texts
                 };
-                prop_assert_eq!(got.get(section), from.get(section), "{}", merged);
+                prop_assert_eq!(
+                    merged_texts.get(section),
+                    expected.get(section),
+                    "{}",
+                    merged
+                );
             }
             Ok(())
         })
--- a/src/conf/entry_settings.rs
+++ b/src/conf/entry_settings.rs
@@ -95,7 +95,7 @@
     let digest = operator.name("token_blake3");
     let is_hex = digest.len() == 64 && digest.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !digest.is_empty() && !is_hex {
-        operator.fault("token_blake3", "must be 64 hex digits");
+        operator.report_fault("token_blake3", "must be 64 hex digits");
     }
     digest.to_ascii_lowercase()
 }
@@ -104,7 +104,7 @@
     let sections = operator.strings("sections");
     for section in &sections {
         if !crate::core::config::SECTIONS.contains(&section.as_str()) {
-            operator.fault("sections", format!("no section is named \"{section}\""));
+            operator.report_fault("sections", format!("no section is named \"{section}\""));
         }
     }
     sections
--- a/src/conf/service_settings.rs
+++ b/src/conf/program_settings.rs
@@ -7,14 +7,14 @@
 
 /// Settings of `rattanslip-entry`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum EntryProgram {
+pub(crate) enum EntryProgramSettings {
     /// With the product's own interfaces.
     Standalone(EntrySettings),
     /// On a site.
     Site(SiteEntrySettings),
 }
 
-impl EntryProgram {
+impl EntryProgramSettings {
     /// Reads the file's root table.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
@@ -34,14 +34,14 @@
 
 /// Settings of `rattanslip-agent`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AgentProgram {
+pub(crate) enum AgentProgramSettings {
     /// With the product's own interfaces.
     Standalone(AgentSettings),
     /// On a site.
     Site(SiteAgentSettings),
 }
 
-impl AgentProgram {
+impl AgentProgramSettings {
     /// Reads the file's root table.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
--- a/src/conf/section_texts.rs
+++ b/src/conf/section_texts.rs
@@ -7,7 +7,7 @@
 };
 
 /// Begins the line by which `show` says what a document was made from.
-const VERSION_MARK: &str = "# rattanslip version ";
+const VERSION_COMMENT_PREFIX: &str = "# rattanslip version ";
 
 /// A header with all that belongs to it: the comments above it and the fields below it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,8 +17,8 @@
 }
 
 /// The version that a document says it was made from, and the document without that line.
-pub(crate) fn split_version_mark(text: &str) -> (Option<u64>, &str) {
-    let Some(rest) = text.strip_prefix(VERSION_MARK) else {
+pub(crate) fn split_version_comment(text: &str) -> (Option<u64>, &str) {
+    let Some(rest) = text.strip_prefix(VERSION_COMMENT_PREFIX) else {
         return (None, text);
     };
     let (version, document) = rest.split_once('\n').unwrap_or((rest, ""));
@@ -29,8 +29,8 @@
 }
 
 /// The document with the line that says what it was made from.
-pub(crate) fn with_version_mark(version: u64, text: &str) -> String {
-    format!("{VERSION_MARK}{version}\n{text}")
+pub(crate) fn with_version_comment(version: u64, text: &str) -> String {
+    format!("{VERSION_COMMENT_PREFIX}{version}\n{text}")
 }
 
 /// Each section's text.
@@ -46,21 +46,24 @@
 /// The document in force with some sections taken from another document.
 ///
 /// A section that is taken stands where it stood before, a new one at the end.
-pub(crate) fn merge_sections(current: &str, mine: &str, taken: &[&'static str]) -> String {
-    let mine = section_texts(mine);
+pub(crate) fn merge_sections(current: &str, draft: &str, changed: &[&'static str]) -> String {
+    let draft = section_texts(draft);
     let mut merged = String::with_capacity(current.len());
-    let mut placed: Vec<&str> = Vec::new();
+    let mut written: Vec<&str> = Vec::new();
     for chunk in chunks(current) {
-        if !taken.contains(&chunk.section) {
+        if !changed.contains(&chunk.section) {
             push_lines(&mut merged, chunk.text);
-        } else if !placed.contains(&chunk.section) {
-            placed.push(chunk.section);
-            push_lines(&mut merged, mine.get(chunk.section).map_or("", |text| text));
+        } else if !written.contains(&chunk.section) {
+            written.push(chunk.section);
+            push_lines(
+                &mut merged,
+                draft.get(chunk.section).map_or("", |text| text),
+            );
         }
     }
-    for section in taken {
-        if !placed.contains(section) {
-            push_lines(&mut merged, mine.get(section).map_or("", |text| text));
+    for section in changed {
+        if !written.contains(section) {
+            push_lines(&mut merged, draft.get(section).map_or("", |text| text));
         }
     }
     merged
@@ -82,7 +85,7 @@
     let mut headers = Vec::new();
     for section in SECTIONS {
         if let Some(item) = document.as_table().get(section) {
-            headers_of(item, section, &mut headers);
+            collect_headers(item, section, &mut headers);
         }
     }
     headers.sort_unstable();
@@ -91,7 +94,7 @@
         .enumerate()
         .map(|(index, (header, _))| match index {
             0 => 0,
-            _ => start_of_comments(text, *header),
+            _ => leading_comments_start(text, *header),
         })
         .collect();
     let ends = starts.iter().skip(1).copied().chain([text.len()]);
@@ -104,19 +107,19 @@
         .collect()
 }
 
-fn headers_of(item: &Item, section: &'static str, headers: &mut Vec<(usize, &'static str)>) {
+fn collect_headers(item: &Item, section: &'static str, headers: &mut Vec<(usize, &'static str)>) {
     match item {
-        Item::Table(table) => headers_of_table(table, section, headers),
+        Item::Table(table) => collect_table_headers(table, section, headers),
         Item::ArrayOfTables(tables) => {
             for table in tables {
-                headers_of_table(table, section, headers);
+                collect_table_headers(table, section, headers);
             }
         }
         Item::None | Item::Value(_) => {}
     }
 }
 
-fn headers_of_table(
+fn collect_table_headers(
     table: &Table,
     section: &'static str,
     headers: &mut Vec<(usize, &'static str)>,
@@ -128,12 +131,12 @@
         headers.push((span.start, section));
     }
     for (_, item) in table {
-        headers_of(item, section, headers);
+        collect_headers(item, section, headers);
     }
 }
 
 /// Where the comments just above a header begin; blank lines before them end the chunk before.
-fn start_of_comments(text: &str, header: usize) -> usize {
+fn leading_comments_start(text: &str, header: usize) -> usize {
     let mut position = header;
     let mut start = header;
     for line in text[..header].split_inclusive('\n').rev() {
--- a/src/conf/table_reader.rs
+++ b/src/conf/table_reader.rs
@@ -18,7 +18,7 @@
     path: String,
     table: Option<&'a dyn TableLike>,
     span: Option<Range<usize>>,
-    known: BTreeSet<String>,
+    requested: BTreeSet<String>,
     faults: &'a RefCell<Vec<Fault>>,
 }
 
@@ -33,7 +33,7 @@
             Err(error) => {
                 let start = error.span().map_or(0, |span| span.start);
                 return Err(vec![Fault {
-                    line: line_at(text, start),
+                    line: line_number_at(text, start),
                     section: section_at(text, start),
                     field: String::new(),
                     message: error.message().to_owned(),
@@ -46,11 +46,11 @@
             path: String::new(),
             table: Some(document.as_table()),
             span: None,
-            known: BTreeSet::new(),
+            requested: BTreeSet::new(),
             faults: &faults,
         };
         let value = read(&mut reader);
-        reader.finish();
+        reader.report_unknown_fields();
         let mut faults = faults.into_inner();
         if faults.is_empty() {
             return Ok(value);
@@ -68,18 +68,18 @@
     }
 
     /// Notes a fault of one of the table's fields.
-    pub(crate) fn fault(&self, key: &str, message: impl Into<String>) {
+    pub(crate) fn report_fault(&self, key: &str, message: impl Into<String>) {
         let span = self
             .table
             .and_then(|table| table.get_key_value(key))
             .and_then(|(key, item)| key.span().or_else(|| item.span()))
             .or_else(|| self.span.clone());
         let field = self.path_of(key);
-        self.push(span, field, message.into());
+        self.push_fault(span, field, message.into());
     }
 
     /// Notes a fault of a field further down, at the line of the nearest table or field there is.
-    pub(crate) fn fault_at(&self, path: &[&str], message: impl Into<String>) {
+    pub(crate) fn report_fault_at(&self, path: &[&str], message: impl Into<String>) {
         let mut table = self.table;
         let mut span = self.span.clone();
         for key in path {
@@ -92,7 +92,7 @@
             };
             table = item.as_table_like();
         }
-        self.push(span, self.path_of(&path.join(".")), message.into());
+        self.push_fault(span, self.path_of(&path.join(".")), message.into());
     }
 
     /// Notes a fault if a table is written without a header, as `zones.a = {}` or `zones = {}`.
@@ -101,14 +101,14 @@
         let has_header = |item: &Item| item.as_table().is_none_or(|table| !table.is_dotted());
         if item.is_some_and(|item| item.is_inline_table() || !has_header(item)) {
             let message = format!("must be written with headers, such as [{key}.NAME]");
-            self.fault(key, message);
+            self.report_fault(key, message);
         }
     }
 
-    fn push(&self, span: Option<Range<usize>>, field: String, message: String) {
+    fn push_fault(&self, span: Option<Range<usize>>, field: String, message: String) {
         let section = field.split('.').next().unwrap_or_default().to_owned();
         self.faults.borrow_mut().push(Fault {
-            line: line_at(self.text, span.map_or(0, |span| span.start)),
+            line: line_number_at(self.text, span.map_or(0, |span| span.start)),
             section,
             field,
             message,
@@ -123,7 +123,7 @@
     }
 
     fn item(&mut self, key: &str) -> Option<&'a Item> {
-        self.known.insert(key.to_owned());
+        self.requested.insert(key.to_owned());
         self.table.and_then(|table| table.get(key))
     }
 
@@ -136,7 +136,7 @@
         let item = self.item(key);
         let table = item.and_then(Item::as_table_like);
         if item.is_some() && table.is_none() {
-            self.fault(key, "must be a table");
+            self.report_fault(key, "must be a table");
         }
         let span = item.and_then(Item::span).or_else(|| {
             self.table
@@ -148,11 +148,11 @@
             path: self.path_of(key),
             table,
             span: span.or_else(|| self.span.clone()),
-            known: BTreeSet::new(),
+            requested: BTreeSet::new(),
             faults: self.faults,
         };
         let value = read(&mut reader);
-        reader.finish();
+        reader.report_unknown_fields();
         value
     }
 
@@ -160,8 +160,8 @@
     pub(crate) fn string(&mut self, key: &str, default: Option<&str>) -> String {
         match self.item(key).map(|item| item.as_str()) {
             Some(Some(text)) => return text.to_owned(),
-            Some(None) => self.fault(key, "must be a string"),
-            None if default.is_none() => self.fault(key, "is required"),
+            Some(None) => self.report_fault(key, "must be a string"),
+            None if default.is_none() => self.report_fault(key, "is required"),
             None => {}
         }
         default.unwrap_or_default().to_owned()
@@ -172,7 +172,7 @@
         let present = self.table.is_some_and(|table| table.contains_key(key));
         let text = self.string(key, None);
         if present && text.trim().is_empty() {
-            self.fault(key, "must not be empty");
+            self.report_fault(key, "must not be empty");
         }
         text
     }
@@ -184,12 +184,12 @@
         };
         let found = item
             .as_str()
-            .and_then(|text| choices.iter().find(|(word, _)| *word == text));
+            .and_then(|text| choices.iter().find(|(name, _)| *name == text));
         if let Some((_, value)) = found {
             return *value;
         }
-        let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
-        self.fault(key, format!("must be one of {}", words.join(", ")));
+        let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
+        self.report_fault(key, format!("must be one of {}", names.join(", ")));
         default
     }
 
@@ -201,7 +201,7 @@
         let fallback = default.unwrap_or(*range.start());
         let Some(item) = self.item(key) else {
             if default.is_none() {
-                self.fault(key, "is required");
+                self.report_fault(key, "is required");
             }
             return fallback;
         };
@@ -210,7 +210,7 @@
             Some(value) if range.contains(&value) => value,
             _ => {
                 let (low, high) = (range.start(), range.end());
-                self.fault(key, format!("must be a whole number from {low} to {high}"));
+                self.report_fault(key, format!("must be a whole number from {low} to {high}"));
                 fallback
             }
         }
@@ -222,7 +222,7 @@
             return default;
         };
         item.as_bool().unwrap_or_else(|| {
-            self.fault(key, "must be true or false");
+            self.report_fault(key, "must be true or false");
             default
         })
     }
@@ -233,7 +233,7 @@
             return Vec::new();
         };
         let Some(array) = item.as_array() else {
-            self.fault(key, "must be a list of strings");
+            self.report_fault(key, "must be a list of strings");
             return Vec::new();
         };
         let texts: Vec<String> = array
@@ -241,7 +241,7 @@
             .filter_map(|value| value.as_str().map(str::to_owned))
             .collect();
         if texts.len() != array.len() {
-            self.fault(key, "must be a list of strings");
+            self.report_fault(key, "must be a list of strings");
         }
         texts
     }
@@ -255,7 +255,7 @@
             return fallback;
         }
         text.parse().unwrap_or_else(|_| {
-            self.fault(
+            self.report_fault(
                 key,
                 "must be an IP number with a port, such as 127.0.0.1:7000",
             );
@@ -276,22 +276,22 @@
         let texts = self.strings(key);
         let addrs: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
         if addrs.len() != texts.len() {
-            self.fault(key, "each must be an IP number with a port");
+            self.report_fault(key, "each must be an IP number with a port");
         }
         addrs
     }
 
-    fn finish(&self) {
+    fn report_unknown_fields(&self) {
         for key in self.keys() {
-            if !self.known.contains(&key) {
-                self.fault(&key, "unknown field");
+            if !self.requested.contains(&key) {
+                self.report_fault(&key, "unknown field");
             }
         }
     }
 }
 
 /// The line, from 1, of a position in the text.
-fn line_at(text: &str, position: usize) -> usize {
+fn line_number_at(text: &str, position: usize) -> usize {
     let end = position.min(text.len());
     1 + text.as_bytes()[..end]
         .iter()
--- a/src/conf/tests.rs
+++ b/src/conf/tests.rs
@@ -17,7 +17,7 @@
 ];
 
 #[test]
-fn the_examples_are_todays_deployments() {
+fn example_documents_are_valid() {
     for (text, zones) in EXAMPLES.into_iter().zip([4, 3]) {
         let document = read_document(text).expect("no faults");
         assert_eq!(document.zones.len(), zones);
@@ -64,8 +64,8 @@
 
 fault_cases! {
     read_entry;
-    entry_settings_with_defaults_are_taken: ENTRY => [];
-    all_faults_of_entry_settings_come_at_once:
+    entry_settings_with_defaults_are_valid: ENTRY => [];
+    all_faults_of_entry_settings_are_reported_together:
         ENTRY.replace("\"127.0.0.1:7000\"", "7000").replace("name = \"entry-1\"", "nmae = \"x\"")
         + "head_poll_ms = 1\n" => [
             "line 1: name: is required",
@@ -74,15 +74,15 @@
             "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
             "line 7: head_poll_ms: must be a whole number from 50 to 2000",
         ];
-    host_names_are_refused: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
+    host_names_are_rejected: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
         "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
     ];
 }
 
 fault_cases! {
     read_document;
-    small_document_is_taken: DOCUMENT => [];
-    syntax_error_has_its_line: DOCUMENT.replace("slots = 8", "slots = = 8") => [
+    minimal_document_is_valid: DOCUMENT => [];
+    syntax_error_reports_its_line: DOCUMENT.replace("slots = 8", "slots = = 8") => [
         "line 8: extra `=`, expected nothing",
     ];
     unknown_zone_of_a_worker: DOCUMENT.replace("zone = \"grindavik\"", "zone = \"grindavk\"") => [
--- a/src/entry/config_draft.rs
+++ b/src/entry/config_draft.rs
@@ -4,8 +4,8 @@
     super::{ApplyError, InForce},
     crate::{
         conf::{
-            DocumentRules, Fault, merge_sections, read_document_by, section_texts,
-            split_version_mark, with_zone_state,
+            DocumentRules, Fault, merge_sections, read_document_with, section_texts,
+            split_version_comment, with_zone_state,
         },
         core::config::{
             BasedOn, ChangeInput, ChangeRefusal, Document, Head, SECTIONS, SectionState, Sections,
@@ -88,7 +88,7 @@
     pub(crate) fn document(&self, in_force: &InForce) -> Result<(String, BasedOn), ApplyError> {
         match &self.edit {
             Edit::Document { text, based_on } => {
-                let (_, text) = split_version_mark(text);
+                let (_, text) = split_version_comment(text);
                 Ok((text.to_owned(), based_on.clone()))
             }
             Edit::Zone { zone, state } => {
@@ -102,7 +102,7 @@
     /// The rules for the document that this change puts in force.
     fn rules(&self, in_force: &InForce) -> DocumentRules {
         if self.close_last_zone {
-            return DocumentRules::Whole;
+            return DocumentRules::Complete;
         }
         let open_now: BTreeSet<String> = in_force.document.open_zones().cloned().collect();
         DocumentRules::Change { open_now }
@@ -128,10 +128,10 @@
         owned: &'a [String],
     ) -> Result<Self, ApplyError> {
         let rules = change.rules(in_force);
-        let (sections, whole) = match read_document_by(text, &rules) {
+        let (sections, whole) = match read_document_with(text, &rules) {
             Ok(document) => (sections_of(&document, text), Some(document)),
             Err(faults) => {
-                let document = read_document_by(text, &DocumentRules::Accepted)
+                let document = read_document_with(text, &DocumentRules::Accepted)
                     .map_err(|_| ApplyError::Invalid(faults))?;
                 (sections_of(&document, text), None)
             }
@@ -178,7 +178,7 @@
         let text = self.merged_text(&taken);
         let document = match &self.whole {
             Some(whole) if text == self.text => whole.clone(),
-            _ => read_document_by(&text, &self.rules)
+            _ => read_document_with(&text, &self.rules)
                 .map_err(|faults| self.with_lines_of_mine(&text, faults))?,
         };
         Ok(Draft {
@@ -202,7 +202,7 @@
     /// Faults of a merged text at the lines of the operator's own file, where it has them too.
     fn with_lines_of_mine(&self, merged: &str, mut faults: Vec<Fault>) -> ApplyError {
         if merged != self.text {
-            let mine = read_document_by(self.text, &self.rules)
+            let mine = read_document_with(self.text, &self.rules)
                 .err()
                 .unwrap_or_default();
             for fault in &mut faults {
--- a/src/entry/config_keeper.rs
+++ b/src/entry/config_keeper.rs
@@ -3,7 +3,7 @@
 use {
     super::{EntryState, InForce},
     crate::{
-        conf::{DocumentRules, OperatorSettings, read_document_by},
+        conf::{DocumentRules, OperatorSettings, read_document_with},
         core::config::Head,
         ports::{Metrics, ObjectStore, Row, StoreError, Table, TimerService},
     },
@@ -132,7 +132,7 @@
 }
 
 fn in_force(head: Head, text: String) -> Result<InForce, StoreError> {
-    let document = read_document_by(&text, &DocumentRules::Accepted).map_err(|faults| {
+    let document = read_document_with(&text, &DocumentRules::Accepted).map_err(|faults| {
         StoreError::Unavailable(format!(
             "document {} has {} faults",
             head.object,
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -131,11 +131,15 @@
     sleep_until(began + Duration::from_millis(args.zone_out_at_ms)).await;
     let out_us = unix_us();
     let path = format!("/v1/zones/{zone}/out");
-    operator.json(Method::POST, &path, String::new()).await?;
+    operator
+        .request_json(Method::POST, &path, String::new())
+        .await?;
     sleep_until(began + Duration::from_millis(args.zone_in_at_ms)).await;
     let in_us = unix_us();
     let path = format!("/v1/zones/{zone}/in");
-    operator.json(Method::POST, &path, String::new()).await?;
+    operator
+        .request_json(Method::POST, &path, String::new())
+        .await?;
     Ok((Some(out_us), Some(in_us)))
 }
 
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -12,7 +12,7 @@
             http::{HttpHandler, serve_http},
             timer::BootTimer,
         },
-        cli::{RunError, listen, reload_signals, stop_signal},
+        cli::{RunError, listen, log_reload_signals, stop_signal},
         conf::SiteAgentSettings,
         core::{
             execution::{ExecutionEvent, Executor, ExecutorSettings},
@@ -124,7 +124,7 @@
     shared.serve_http_endpoints(&settings, stopped).await?;
     tokio::spawn(execution.run(input_receiver));
     tokio::spawn(shared.worker_view_store(&settings).run(newest_view));
-    tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
+    tokio::spawn(log_reload_signals(Arc::clone(&shared.process.decisions)));
     shared.process.log_started(site);
     let lease_expiry_ms = site.limits.max_lease_ms() + LEASE_SLACK_MS;
     tokio::spawn(dial_after_stale_runs(
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -17,7 +17,7 @@
             link::serve_links,
             timer::BootTimer,
         },
-        cli::{RunError, listen, reload_signals, stop_signal},
+        cli::{RunError, listen, log_reload_signals, stop_signal},
         conf::SiteEntrySettings,
         core::{
             dispatch::{DispatchEvent, DispatchSettings, Dispatcher},
@@ -159,7 +159,7 @@
     for replica in EntryListReplica::ALL {
         tokio::spawn(Arc::clone(&entry_registration).register(replica));
     }
-    tokio::spawn(reload_signals(Arc::clone(&shared.process.decisions)));
+    tokio::spawn(log_reload_signals(Arc::clone(&shared.process.decisions)));
     shared.process.log_started(&settings.site);
 
     stop_signal().await;
