--- a/src/cli/args/load_args.rs
+++ b/src/cli/args/load_args.rs
@@ -5,12 +5,12 @@
     std::{net::SocketAddr, str::FromStr},
 };
 
-/// A backend server with the availability zone that it stands in, written `ZONE=ADDR`.
+/// A backend server and its availability zone, written `ZONE=ADDR`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ZonedBackend {
     /// The availability zone.
     pub(crate) availability_zone: String,
-    /// Where the backend server listens.
+    /// Address of the backend server.
     pub(crate) addr: SocketAddr,
 }
 
@@ -18,100 +18,100 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let (zone, addr) = text.split_once('=').ok_or("write ZONE=ADDR")?;
+        let (zone, addr) = text.split_once('=').ok_or("expected ZONE=ADDR")?;
         Ok(Self {
             availability_zone: zone.to_owned(),
-            addr: addr.parse().map_err(|_| "write ZONE=IP:PORT")?,
+            addr: addr.parse().map_err(|_| "expected ZONE=IP:PORT")?,
         })
     }
 }
 
-/// Sizes of jobs and times of tasks.
+/// Distribution of job sizes and task durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Shape {
-    /// Mostly single tasks of 50 ms to 1 s, some jobs of up to 20, a few tasks of several seconds
+    /// Mostly single tasks of 50 ms to 1 s, some jobs of up to 20 tasks, a few tasks of several seconds
     Mixed,
     /// Jobs of 200 tasks of 20 ms
     Wide,
 }
 
-/// Sends jobs to entries at a set rate, checks every answer and measures against the ideal.
+/// Sends jobs to entries at a fixed rate, checks every response and compares the results with the ideal.
 #[derive(Debug, Parser)]
 #[command(name = "rattanslip-load", version)]
 pub(crate) struct LoadArgs {
     /// Client address of an entry; may be given several times
     #[arg(long = "entry", value_name = "ADDR", required = true)]
     pub(crate) entries: Vec<SocketAddr>,
-    /// The service
+    /// Service of the jobs
     #[arg(long)]
     pub(crate) service: String,
-    /// The team that the jobs are submitted for
+    /// Team that the jobs are submitted for
     #[arg(long, default_value = "")]
     pub(crate) team: String,
-    /// Offered work as a share of what the slots can do
+    /// Offered load as a share of the capacity of all slots
     #[arg(long, default_value_t = 0.8)]
     pub(crate) load: f64,
-    /// Slots of the deployment
+    /// Number of slots in the deployment
     #[arg(long, default_value_t = 88)]
     pub(crate) slots: usize,
-    /// Sizes of jobs and times of tasks
+    /// Distribution of job sizes and task durations
     #[arg(long, value_enum, default_value_t = Shape::Mixed)]
     pub(crate) shape: Shape,
-    /// How many times the rate grows during bursts of a tenth of each second; 1 for none
+    /// Factor on the rate during a tenth of each second; 1 for no bursts
     #[arg(long, default_value_t = 1.0)]
     pub(crate) burst_factor: f64,
-    /// Declared times are wrong by up to this factor, either way
+    /// Declared task durations are too long or too short by up to this factor
     #[arg(long, default_value_t = 10.0)]
     pub(crate) declared_error: f64,
-    /// Deadline of each job beyond its longest task
+    /// Deadline of each job in addition to its longest task
     #[arg(long, default_value_t = 10_000)]
     pub(crate) slack_ms: u64,
-    /// How long to send
+    /// Duration of the run
     #[arg(long, default_value_t = 10_000)]
     pub(crate) duration_ms: u64,
-    /// Start of the window in which work is counted
+    /// Start of the measurement window
     #[arg(long, default_value_t = 1_000)]
     pub(crate) warmup_ms: u64,
-    /// Seed of arrivals and task times
+    /// Seed of arrivals and task durations
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Tasks may run more than once
+    /// Declare the tasks safe to run more than once
     #[arg(long)]
     pub(crate) repeatable: bool,
-    /// Send what was not done again, whatever the verdict says
+    /// Resubmit every job that was not done, regardless of its verdict
     #[arg(long)]
     pub(crate) blind_retry: bool,
-    /// Share of jobs that are cancelled together in the middle of the run
+    /// Share of jobs that are cancelled at once in the middle of the run
     #[arg(long, default_value_t = 0.0)]
     pub(crate) cancel_share: f64,
-    /// Share of jobs whose tasks no worker can hold
+    /// Share of jobs whose tasks exceed every worker
     #[arg(long, default_value_t = 0.0)]
     pub(crate) impossible_share: f64,
-    /// A backend server whose record of starts is read; may be given several times
+    /// Backend server whose record of starts is read; may be given several times
     #[arg(long = "backend", value_name = "ZONE=ADDR")]
     pub(crate) backends: Vec<ZonedBackend>,
     /// HTTP address of an agent whose counters are read; may be given several times
     #[arg(long = "agent", value_name = "ADDR")]
     pub(crate) agents: Vec<SocketAddr>,
-    /// An entry's process, for its processor time; may be given several times
+    /// Process of an entry whose CPU time is measured; may be given several times
     #[arg(long = "entry-pid", value_name = "PID")]
     pub(crate) entry_pids: Vec<u32>,
-    /// An agent's process, for its processor time; may be given several times
+    /// Process of an agent whose CPU time is measured; may be given several times
     #[arg(long = "agent-pid", value_name = "PID")]
     pub(crate) agent_pids: Vec<u32>,
-    /// Take this availability zone out of service during the run and bring it back
+    /// Availability zone that is taken out of service and brought back during the run
     #[arg(long, value_name = "ZONE")]
     pub(crate) zone_out: Option<String>,
-    /// When it is taken out
+    /// Time at which the zone is taken out
     #[arg(long, default_value_t = 2_000)]
     pub(crate) zone_out_at_ms: u64,
-    /// When it is brought back
+    /// Time at which the zone is brought back
     #[arg(long, default_value_t = 6_000)]
     pub(crate) zone_in_at_ms: u64,
-    /// The operator's token
+    /// Operator's token
     #[arg(long, env = "RATTANSLIP_TOKEN", hide_env_values = true)]
     pub(crate) token: Option<String>,
-    /// Print one JSON object
+    /// Print the result as one JSON object
     #[arg(long)]
     pub(crate) json: bool,
 }
--- a/src/cli/args/mod.rs
+++ b/src/cli/args/mod.rs
@@ -1,4 +1,4 @@
-//! The arguments of each program.
+//! Command-line arguments of each program.
 
 mod load_args;
 mod operator_args;
--- a/src/cli/args/operator_args.rs
+++ b/src/cli/args/operator_args.rs
@@ -1,11 +1,11 @@
-//! Arguments of `rattanslip`.
+//! Command-line arguments of `rattanslip`.
 
 use {
     clap::{Parser, Subcommand, ValueEnum},
     std::{net::SocketAddr, path::PathBuf},
 };
 
-/// Drives rattanslip from an operator's or a client's shell.
+/// Command line for operators and clients of rattanslip.
 #[derive(Debug, Parser)]
 #[command(name = "rattanslip", version)]
 pub(crate) struct OperatorArgs {
@@ -24,42 +24,42 @@
     /// Print JSON
     #[arg(long, global = true)]
     pub(crate) json: bool,
-    /// What to do
+    /// The command
     #[command(subcommand)]
     pub(crate) command: OperatorCommand,
 }
 
-/// What a file is.
+/// Kind of a file to check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum CheckKind {
     /// The configuration document
     Document,
-    /// Settings of `rattanslip-entry`
+    /// Settings file of `rattanslip-entry`
     Entry,
-    /// Settings of `rattanslip-agent`
+    /// Settings file of `rattanslip-agent`
     Agent,
 }
 
-/// The commands.
+/// Commands of `rattanslip`.
 #[derive(Debug, Subcommand)]
 pub(crate) enum OperatorCommand {
     /// Check a file and list all its faults
     Check {
         /// The file
         file: PathBuf,
-        /// What the file is
+        /// Kind of the file
         #[arg(long, value_enum, default_value = "document")]
         kind: CheckKind,
     },
-    /// Show what the processes' logs say of one request, in order of time
+    /// Show the log lines of one request in order of time
     Explain {
-        /// The request's id
+        /// ID of the request
         id: String,
-        /// Logs of entries and agents
+        /// Log files of entries and agents
         #[arg(required = true, value_name = "FILE")]
         logs: Vec<PathBuf>,
     },
-    /// Read a token from standard input and print the digest for an entry's settings
+    /// Read a token from standard input and print its digest for an entry's settings
     HashToken,
     /// Show what a configuration document would change
     Diff(DocumentArgs),
@@ -67,72 +67,72 @@
     Apply(DocumentArgs),
     /// Show the configuration in force
     Show {
-        /// Show it as it was at this version
+        /// Show this version instead
         #[arg(long)]
         version: Option<u64>,
     },
     /// List accepted changes
     History {
-        /// How many of the newest versions; 100 if not given
+        /// Number of newest versions to list; 100 if not given
         #[arg(long)]
         last: Option<u64>,
     },
     /// Take an availability zone out of service or bring it back
     Zone {
-        /// Which way
+        /// The direction
         #[command(subcommand)]
         command: ZoneCommand,
     },
-    /// List workers as the entry sees them
+    /// List the workers known to the entry
     Workers,
-    /// Submit a job read from a JSON file and print its answer
+    /// Submit a job from a JSON file and print its outcome
     Submit {
         /// The file
         file: PathBuf,
-        /// The job's identity; a fresh ticket if neither is given
+        /// Ticket of the job; a new one is requested if neither ticket nor key is given
         #[arg(long, conflicts_with = "key")]
         ticket: Option<String>,
-        /// The client's own key for the job
+        /// Idempotency key of the job
         #[arg(long)]
         key: Option<String>,
     },
-    /// Ask after a job
+    /// Show the status or outcome of a job
     Status {
-        /// The job's ticket
+        /// Ticket of the job
         ticket: String,
     },
-    /// Give a job up
+    /// Cancel a job
     Cancel {
-        /// The job's ticket
+        /// Ticket of the job
         ticket: String,
     },
 }
 
-/// A document and what it was made from.
+/// A configuration document and the version it is based on.
 #[derive(Debug, clap::Args)]
 pub(crate) struct DocumentArgs {
     /// The file
     pub(crate) file: PathBuf,
-    /// The version that it was made from; if not given, its first line says so (see `show`)
+    /// Version that the document is based on; read from its first line if not given (see `show`)
     #[arg(long, value_name = "VERSION")]
     pub(crate) based_on: Option<u64>,
-    /// Allow that no availability zone stays open
+    /// Allow closing the last open availability zone
     #[arg(long)]
     pub(crate) close_last_zone: bool,
 }
 
-/// Which way an availability zone goes.
+/// Taking an availability zone out of service or back in.
 #[derive(Debug, Subcommand)]
 pub(crate) enum ZoneCommand {
-    /// No task starts there any more
+    /// Take the zone out of service: no more tasks start there
     Out {
         /// The availability zone
         zone: String,
-        /// Allow that no availability zone stays open
+        /// Allow closing the last open availability zone
         #[arg(long)]
         last: bool,
     },
-    /// Tasks may start there again
+    /// Bring the zone back into service: tasks may start there again
     In {
         /// The availability zone
         zone: String,
--- a/src/cli/args/service_args.rs
+++ b/src/cli/args/service_args.rs
@@ -1,21 +1,21 @@
-//! Arguments of the programs that run as services.
+//! Command-line arguments of `rattanslip-entry` and `rattanslip-agent`.
 
 use {clap::Parser, std::path::PathBuf};
 
-/// Takes jobs and operators' changes at an entry host.
+/// Accepts jobs from clients and configuration changes from operators.
 #[derive(Debug, Parser)]
 #[command(name = "rattanslip-entry", version)]
 pub(crate) struct EntryArgs {
-    /// Settings in TOML
+    /// Settings file in TOML
     #[arg(long, value_name = "FILE")]
     pub(crate) settings: PathBuf,
 }
 
-/// Runs jobs and tasks beside a backend server.
+/// Serves as home for jobs and runs tasks on the local backend server.
 #[derive(Debug, Parser)]
 #[command(name = "rattanslip-agent", version)]
 pub(crate) struct AgentArgs {
-    /// Settings in TOML
+    /// Settings file in TOML
     #[arg(long, value_name = "FILE")]
     pub(crate) settings: PathBuf,
 }
--- a/src/cli/commands/check.rs
+++ b/src/cli/commands/check.rs
@@ -11,7 +11,7 @@
     std::path::Path,
 };
 
-/// Checks a file; all its faults are listed.
+/// Checks a file and lists all its faults.
 pub(crate) fn check(file: &Path, kind: CheckKind, as_json: bool) -> Result<(), RunError> {
     let result = match kind {
         CheckKind::Document => check_document(file),
--- a/src/cli/commands/config.rs
+++ b/src/cli/commands/config.rs
@@ -11,12 +11,12 @@
     std::path::Path,
 };
 
-/// A document with what the operator says about it.
+/// A document to apply or compare, with the operator's options.
 #[derive(Debug)]
 pub(crate) struct DocumentChange<'a> {
     /// The file.
     pub(crate) file: &'a Path,
-    /// The version that it was made from; its first line says it if this doesn't.
+    /// Version that the document is based on; if `None`, its first line names the version.
     pub(crate) based_on: Option<u64>,
     /// Whether the last open availability zone may be closed.
     pub(crate) close_last_zone: bool,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Puts a document in force.
+/// Applies a document as the new configuration.
 pub(crate) async fn apply(
     client: &OperatorClient,
     change: &DocumentChange<'_>,
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Shows the document in force, or as it was at a version.
+/// Shows the document in force or an earlier version.
 pub(crate) async fn show(
     client: &OperatorClient,
     version: Option<u64>,
--- a/src/cli/commands/describe.rs
+++ b/src/cli/commands/describe.rs
@@ -1,8 +1,8 @@
-//! Replies of the configuration's routes in an operator's words.
+//! Text output for responses of the configuration API.
 
 use {jiff::Timestamp, serde_json::Value, std::fmt::Write};
 
-/// What a change does, a line each.
+/// Describes the differences of a change, one per line.
 pub(crate) fn describe_change(response: &Value) -> String {
     let mut text = String::new();
     for difference in response["differences"].as_array().into_iter().flatten() {
@@ -25,7 +25,7 @@
     format!("  only comments, in {}\n", sections.join(", "))
 }
 
-/// Who changed what since, a line for each section.
+/// Describes conflicting changes, one line per section.
 pub(crate) fn describe_conflicts(detail: &Value) -> Vec<String> {
     let conflicts = detail["conflicts"].as_array();
     let mut lines: Vec<String> = conflicts
@@ -54,7 +54,7 @@
     lines
 }
 
-/// The time of a section's last change, in UTC.
+/// Time of a section's last change, in UTC.
 pub(crate) fn change_time(change: &Value) -> String {
     change["changed_at_ms"]
         .as_i64()
--- a/src/cli/commands/digest_check.rs
+++ b/src/cli/commands/digest_check.rs
@@ -1,4 +1,4 @@
-//! Whether a printed answer is whole: its count and its digest, reckoned anew.
+//! Verifies the task count and the digest of a job's response.
 
 use {
     crate::{
@@ -12,10 +12,9 @@
     serde_json::Value,
 };
 
-/// Checks an answer that carries a digest; `false` if it carries none, as while a job runs.
+/// Detects outcomes that were truncated or altered between the home and this process.
 ///
-/// Guards against an answer that was cut or mixed up on its way from the home to this shell: its
-/// tasks no longer give the digest that the home made.
+/// Returns `false` if the response has no digest, as while the job runs.
 pub(crate) fn verify_digest(response: &Value) -> Result<bool, RunError> {
     if response["digest"].is_null() {
         return Ok(false);
@@ -23,12 +22,12 @@
     match is_intact(response) {
         Some(true) => Ok(true),
         _ => Err(RunError::Failed(
-            "the answer is damaged: its count or digest is wrong; ask again".to_owned(),
+            "the response is corrupt: task count or digest does not match; retry".to_owned(),
         )),
     }
 }
 
-/// Whether count and digest are right; `None` if a field is missing or can't be read.
+/// Whether task count and digest match; `None` if a field is missing or invalid.
 fn is_intact(response: &Value) -> Option<bool> {
     let ticket: Ticket = response["ticket"].as_str()?.parse().ok()?;
     let digest = blake3::Hash::from_hex(response["digest"].as_str()?).ok()?;
--- a/src/cli/commands/explain.rs
+++ b/src/cli/commands/explain.rs
@@ -1,4 +1,4 @@
-//! Shows what the processes' decision lines say of one request.
+//! `rattanslip explain`: the log lines of one request in order of time.
 
 use {
     crate::cli::RunError,
@@ -9,11 +9,11 @@
     },
 };
 
-/// Pause between two lines that is pointed out, in milliseconds: most steps of a request take less.
+/// Shortest gap between two lines that is shown; most steps of a request take less.
 const MIN_SHOWN_GAP_MS: u64 = 500;
-/// Fields that stand in a line's first columns.
+/// Fields that are not repeated after the first columns.
 const COLUMN_FIELDS: [&str; 4] = ["at_unix_ms", "process", "event", "job"];
-/// Events that decide how a request ends.
+/// Events that determine the outcome of a request.
 const DECISIVE_EVENTS: [&str; 6] = [
     "job_refused",
     "job_answered",
@@ -23,7 +23,7 @@
     "call_refused",
 ];
 
-/// One line of a log.
+/// A JSON line of the decision log.
 #[derive(Debug)]
 struct DecisionLine {
     at_unix_ms: u64,
@@ -32,14 +32,14 @@
     fields: Map<String, Value>,
 }
 
-/// Prints the lines that name the request, in order, with gaps and decisive lines marked.
+/// Prints the lines that contain the ID in order of time and marks gaps and decisive events.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<(), RunError> {
     let mut lines = Vec::new();
     for file in files {
         lines.extend(read_matching_lines(id, file)?);
     }
     if lines.is_empty() {
-        return Err(RunError::Failed(format!("no line names {id}")));
+        return Err(RunError::Failed(format!("no log line contains {id}")));
     }
     lines.sort_by_key(|line| line.at_unix_ms);
     print!("{}", format_timeline(&lines));
@@ -53,7 +53,7 @@
     Ok(lines.filter_map(parse_line).collect())
 }
 
-/// A decision line; other output of a process is none.
+/// Parses a line; `None` for other output of the process.
 fn parse_line(line: &str) -> Option<DecisionLine> {
     let fields: Map<String, Value> = serde_json::from_str(line).ok()?;
     let text = |field: &str| Some(fields.get(field)?.as_str()?.to_owned());
--- a/src/cli/commands/hash_token.rs
+++ b/src/cli/commands/hash_token.rs
@@ -2,7 +2,7 @@
 
 use {crate::cli::RunError, std::io};
 
-/// Prints the digest of the token on standard input, so that settings never hold the token.
+/// Prints the digest of a token read from standard input; settings contain only the digest.
 pub(crate) fn hash_token() -> Result<(), RunError> {
     let mut line = String::new();
     io::stdin()
--- a/src/cli/commands/jobs.rs
+++ b/src/cli/commands/jobs.rs
@@ -11,7 +11,7 @@
     std::path::Path,
 };
 
-/// Submits a job and prints its answer.
+/// Submits a job and prints its outcome.
 pub(crate) async fn submit(
     client: &OperatorClient,
     file: &Path,
@@ -40,10 +40,10 @@
     response["tickets"][0]
         .as_str()
         .map(str::to_owned)
-        .ok_or_else(|| RunError::Refused("the entry gave no ticket".to_owned()))
+        .ok_or_else(|| RunError::Refused("the entry returned no ticket".to_owned()))
 }
 
-/// Asks after a job.
+/// Prints the status or outcome of a job.
 pub(crate) async fn status(
     client: &OperatorClient,
     ticket: &str,
@@ -54,7 +54,7 @@
     print_job(&response, as_json)
 }
 
-/// Gives a job up.
+/// Cancels a job.
 pub(crate) async fn cancel(
     client: &OperatorClient,
     ticket: &str,
--- a/src/cli/commands/mod.rs
+++ b/src/cli/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command of `rattanslip` does.
+//! Commands of `rattanslip`.
 
 mod check;
 mod config;
--- a/src/cli/commands/run.rs
+++ b/src/cli/commands/run.rs
@@ -1,4 +1,4 @@
-//! Picks the command.
+//! Dispatch of the commands of `rattanslip`.
 
 use {
     super::{
@@ -13,7 +13,7 @@
     },
 };
 
-/// Runs one command.
+/// Runs the command given in the arguments.
 pub(crate) async fn run(args: OperatorArgs) -> Result<(), RunError> {
     if let OperatorCommand::Check { file, kind } = &args.command {
         return check::check(file, *kind, args.json);
--- a/src/cli/commands/tests.rs
+++ b/src/cli/commands/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the check that the command line makes of each answer.
+//! Tests of the digest check and of `explain`.
 
 use {
     super::digest_check::verify_digest,
@@ -10,7 +10,7 @@
     serde_json::{Value, json},
 };
 
-/// An answer with each kind of outcome, as the entry prints it.
+/// Response of the entry for a job with each kind of task outcome.
 fn job_response() -> Value {
     let ticket = GrantSecret::new([3; 32]).grant(AgentId(7), 1, 1).ticket(0);
     let outcomes = vec![
@@ -78,8 +78,8 @@
     };
 }
 
-/// An on-call engineer has the logs of two hosts in any order and looks for one job: its lines come in order of
-/// time, the decisive ones and the gap before them are marked, and other jobs are left out.
+/// Logs of several hosts are passed in any order: the lines of the job are sorted by time, gaps and
+/// decisive events are marked, and other jobs are skipped.
 #[test]
 fn explain_sorts_lines_and_skips_other_jobs() {
     let log = r#"{"at_unix_ms":5900,"process":"entry-1","event":"run_lost","job":"aa","run":"aa.0.0#1","end":"lost"}
--- a/src/cli/commands/workers.rs
+++ b/src/cli/commands/workers.rs
@@ -11,7 +11,7 @@
     std::collections::BTreeSet,
 };
 
-/// Lists workers as the entry sees them, and declared ones that it doesn't see, by name.
+/// Lists the workers known to the entry and the declared ones that it does not know, by name.
 pub(crate) async fn list(client: &OperatorClient, as_json: bool) -> Result<(), RunError> {
     let mut workers = client
         .request_json(Method::GET, "/v1/workers", String::new())
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Declared workers that don't announce themselves.
+/// Declared workers that are not announced.
 fn absent_workers(present: &Value, document: &Document) -> Vec<Value> {
     let present: BTreeSet<&str> = present
         .as_array()
@@ -85,7 +85,7 @@
     )
 }
 
-/// A number, or a dash for what isn't known.
+/// Formats a number, or a dash for an unknown one.
 fn format_number(value: &Value) -> String {
     value
         .as_u64()
--- a/src/cli/errors.rs
+++ b/src/cli/errors.rs
@@ -1,4 +1,4 @@
-//! Why a program ended.
+//! Errors that end a program.
 
 use {
     crate::conf::ConfError,
@@ -8,43 +8,43 @@
 };
 
 quick_error! {
-    /// Why a program could not do its work.
+    /// An error that ends a program.
     #[derive(Debug)]
     pub enum RunError {
-        /// The settings or a document can't be used.
+        /// A settings file or configuration document can't be used.
         Conf(error: ConfError) {
             from()
             display("{}", error)
             source(error)
         }
-        /// The address can't be listened on.
+        /// Listening on the address failed.
         Listen(addr: SocketAddr, error: io::Error) {
             display("{}: {}", addr, error)
             source(error)
         }
-        /// The metrics can't be set up.
+        /// Initializing the metrics failed.
         Metrics(error: OTelSdkError) {
             display("metrics: {}", error)
             source(error)
         }
-        /// The async runtime can't be set up.
+        /// Starting the async runtime failed.
         Runtime(error: io::Error) {
             display("runtime: {}", error)
             source(error)
         }
-        /// The entry gave no reply.
+        /// The entry sent no response.
         Unreachable(detail: String) {
-            display("no reply from the entry: {}", detail)
+            display("no response from the entry: {}", detail)
         }
-        /// The entry refused.
+        /// The entry refused the request.
         Refused(detail: String) {
             display("{}", detail)
         }
-        /// The entry found faults in a document.
+        /// The entry rejected a document because of its faults.
         InvalidDocument(detail: String) {
             display("{}", detail)
         }
-        /// An argument is missing or can't be used.
+        /// An argument is missing or invalid.
         Usage(detail: String) {
             display("{}", detail)
         }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -2,16 +2,16 @@
 
 use {super::RunError, std::process::ExitCode};
 
-/// Something went wrong while running.
+/// Failure at run time.
 const FAILED: u8 = 1;
-/// Bad settings, a bad document or bad usage.
+/// Invalid settings, document or arguments.
 const INVALID_INPUT: u8 = 2;
-/// The entry could not be reached.
+/// The entry sent no response.
 const UNREACHABLE: u8 = 3;
-/// The entry refused.
+/// The entry refused the request.
 const REFUSED: u8 = 4;
 
-/// Reports an error on standard error and picks the exit code for it.
+/// Prints an error to standard error and returns its exit code.
 pub(crate) fn exit_code(result: Result<(), RunError>) -> ExitCode {
     let Err(error) = result else {
         return ExitCode::SUCCESS;
--- a/src/cli/listen.rs
+++ b/src/cli/listen.rs
@@ -1,8 +1,8 @@
-//! Listens on the addresses of the settings.
+//! TCP listeners of the programs.
 
 use {super::RunError, std::net::SocketAddr, tokio::net::TcpListener};
 
-/// Listens there; an address that can't be had ends the program with it in the message.
+/// Listens on the address; the error names it.
 pub(crate) async fn listen(addr: SocketAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind(addr)
         .await
--- a/src/cli/mains.rs
+++ b/src/cli/mains.rs
@@ -1,4 +1,4 @@
-//! The programs' entry points.
+//! Main functions of the programs.
 
 use {
     super::{
@@ -24,7 +24,7 @@
     tokio::runtime::Builder,
 };
 
-/// Threads of a service process; each shares its host with a backend server or other entries.
+/// Runtime threads of a process; few, because it shares its host with other processes.
 const RUNTIME_THREADS: usize = 2;
 
 fn block_on(work: impl Future<Output = Result<(), RunError>>) -> Result<(), RunError> {
@@ -36,7 +36,7 @@
         .block_on(work)
 }
 
-/// Runs on one thread: on a site's hosts a process has a fraction of one core.
+/// Runs on a single thread, because a process on a site has only a fraction of one core.
 fn block_on_one_thread(work: impl Future<Output = Result<(), RunError>>) -> Result<(), RunError> {
     Builder::new_current_thread()
         .enable_all()
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command lines, exit codes and what each program does with them.
+//! Command-line arguments, commands, exit codes and main functions of the programs.
 
 mod args;
 mod commands;
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry from the command line.
+//! HTTP client of the command line for an entry.
 
 use {
     super::{RunError, commands::describe_conflicts},
@@ -8,7 +8,7 @@
     std::net::SocketAddr,
 };
 
-/// An entry and the token to show it.
+/// Client of one entry, with the operator's token.
 #[derive(Debug)]
 pub(crate) struct OperatorClient {
     client: HttpClient,
@@ -18,7 +18,7 @@
 }
 
 impl OperatorClient {
-    /// A client of this entry.
+    /// Creates a client; fails if no entry is given.
     pub(crate) fn new(entry: Option<SocketAddr>, token: Option<&str>) -> Result<Self, RunError> {
         let entry = entry.ok_or_else(|| {
             RunError::Usage("name an entry with --entry or RATTANSLIP_ENTRY".to_owned())
@@ -31,7 +31,7 @@
         })
     }
 
-    /// The same client, which also prints refusals as the entry sent them if asked to.
+    /// Sets whether the JSON of error responses is printed.
     pub(crate) fn printing_errors(self, prints_errors: bool) -> Self {
         Self {
             prints_errors,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a request and returns whatever the entry replies.
+    /// Sends a request and returns the response, whatever its status.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -58,7 +58,7 @@
             .map_err(|error| RunError::Unreachable(error.to_string()))
     }
 
-    /// Sends a request and returns the JSON of a success; a refusal is an error.
+    /// Sends a request and returns the JSON body; an unsuccessful status is an error.
     pub(crate) async fn request_json(
         &self,
         method: Method,
--- a/src/cli/signals.rs
+++ b/src/cli/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask for a planned stop.
+//! Handling of the stop signals and of SIGHUP.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
         signal(SignalKind::interrupt()),
     );
     let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
-        log::error!("signals can't be received; the process stops only when killed");
+        log::error!("failed to install signal handlers; the process stops only when killed");
         return std::future::pending().await;
     };
     tokio::select! {
@@ -25,10 +25,10 @@
     }
 }
 
-/// Notes each SIGHUP: all that such a process goes by lies in the store, so there is nothing to read anew.
+/// Logs each SIGHUP; nothing is reloaded, because the configuration is read from the store.
 pub(crate) async fn log_reload_signals(decisions: Arc<dyn DecisionLog>) {
     let Ok(mut reloads) = signal(SignalKind::hangup()) else {
-        log::error!("SIGHUP can't be received; it would end the process");
+        log::error!("failed to install the SIGHUP handler; SIGHUP terminates the process");
         return;
     };
     while reloads.recv().await.is_some() {
--- a/src/conf/agent_settings.rs
+++ b/src/conf/agent_settings.rs
@@ -5,50 +5,50 @@
     std::net::SocketAddr,
 };
 
-/// How a home places tasks on runners.
+/// Policy by which a home places tasks on runners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlacementSetting {
-    /// Where most slots are free.
+    /// The runner with the most free slots.
     MostFree,
-    /// Anywhere, whatever the load: the naive policy that measurements compare with.
+    /// A random runner, regardless of its load; the baseline for measurements.
     Random,
 }
 
-/// Everything that an agent takes from its file.
+/// Settings of an agent in a standalone deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AgentSettings {
     /// The worker's name in the configuration.
     pub(crate) worker: String,
     /// The worker's availability zone.
     pub(crate) availability_zone: String,
-    /// Where entries and other agents connect.
+    /// Listen address for entries and other agents.
     pub(crate) peer_listen: SocketAddr,
-    /// Where entries and other agents reach it, if not where it listens.
+    /// Address advertised to entries and other agents; `peer_listen` by default.
     pub(crate) peer_addr: SocketAddr,
-    /// Where the backend server announces itself; also metrics and health.
+    /// Listen address for the backend server's announcements, metrics and health checks.
     pub(crate) http_listen: SocketAddr,
-    /// Entries to announce to.
+    /// Peer addresses of the entries to announce to.
     pub(crate) entries: Vec<SocketAddr>,
-    /// Most tasks run at a time, whatever the backend server announces.
+    /// Upper limit of concurrent tasks, even if the backend server announces more slots.
     pub(crate) slots: u16,
-    /// Connections kept to the backend server.
+    /// Size of the connection pool to the backend server.
     pub(crate) connections: usize,
-    /// For how long a granted ticket is good.
+    /// Validity of a granted ticket.
     pub(crate) ticket_ttl_ms: u64,
-    /// Most bytes of answers kept for resubmissions.
+    /// Memory limit, in bytes, of the job answers retained for resubmissions.
     pub(crate) answers_limit_bytes: usize,
-    /// Silence of a runner after which this home gives its tasks up.
+    /// Time without a message from a runner after which the home counts its tasks as lost.
     pub(crate) runner_lost_after_ms: u64,
-    /// Longest time that a planned stop may take.
+    /// Time limit of a planned stop.
     pub(crate) stop_limit_ms: u64,
-    /// How this home places tasks on runners.
+    /// Placement policy of this home.
     pub(crate) placement: PlacementSetting,
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) log: LogSettings,
 }
 
 impl AgentSettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let peer_listen = reader.socket_addr("peer_listen");
         let settings = Self {
--- a/src/conf/document_reader.rs
+++ b/src/conf/document_reader.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the configuration document.
+//! Parsing and validation of the configuration document.
 
 use {
     super::{DocumentRules, Fault, TableReader},
@@ -9,12 +9,12 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Reads a document by all rules; every fault is reported at once.
+/// Reads a document and applies all rules; returns all faults, not only the first.
 pub(crate) fn read_document(text: &str) -> Result<Document, Vec<Fault>> {
     read_document_with(text, &DocumentRules::Complete)
 }
 
-/// Reads a document by these rules; every fault is reported at once.
+/// Reads a document and applies the given rules; returns all faults, not only the first.
 pub(crate) fn read_document_with(
     text: &str,
     rules: &DocumentRules,
@@ -45,7 +45,7 @@
     })
 }
 
-/// Reads each table within `table` as a named thing.
+/// Reads each subtable of `table` as a value with the subtable's name as its key.
 fn read_named_tables<T>(
     table: &mut TableReader<'_>,
     mut read: impl FnMut(&mut TableReader<'_>) -> T,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Holds the sections against each other.
+/// Checks references between sections and limits that depend on several of them.
 fn check_across_sections(root: &TableReader<'_>, document: &Document) {
     if document.zones.is_empty() {
         root.report_fault("zones", "must have at least one availability zone");
@@ -137,7 +137,7 @@
     root.report_fault_at(&path, format!("no availability zone is named \"{zone}\""));
 }
 
-/// A service must fit some declared worker; one that has not arrived yet counts.
+/// A service must fit at least one declared worker, whether or not that worker has arrived.
 fn check_runnable(root: &TableReader<'_>, document: &Document, name: &str, service: &Service) {
     let runnable = document.workers.values().any(|worker| {
         service
@@ -162,7 +162,7 @@
     }
 }
 
-/// Guards against a slip that stops all work: the last open zone closes only on demand.
+/// Rejects a change that closes the last open availability zone, which would stop all work.
 fn check_last_zone(root: &TableReader<'_>, document: &Document, open_now: &BTreeSet<String>) {
     if open_now.is_empty() || document.open_zones().next().is_some() {
         return;
@@ -170,7 +170,7 @@
     for zone in open_now {
         root.report_fault_at(
             &["zones", zone, "state"],
-            "closes the last open availability zone; say so with --close-last-zone",
+            "closes the last open availability zone; pass --close-last-zone to allow it",
         );
     }
 }
--- a/src/conf/document_rules.rs
+++ b/src/conf/document_rules.rs
@@ -1,16 +1,16 @@
-//! How strictly a document is read.
+//! Validation rules for configuration documents.
 
 use std::collections::BTreeSet;
 
-/// Which rules a document is held to beyond its form.
+/// Rules that a document must satisfy beyond valid TOML and valid single fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum DocumentRules {
-    /// Only its form: for one that was accepted before. Rules that are added later must not keep
-    /// an entry from reading the configuration in force.
+    /// No further rules, for a document that was accepted before: a rule added later must not
+    /// prevent an entry from reading the configuration in force.
     Accepted,
-    /// All rules on its own.
+    /// All rules that concern the document alone.
     Complete,
-    /// All rules; and of the availability zones that are open now, one stays open.
+    /// As `Complete`; in addition at least one availability zone must stay open if any is now.
     Change {
         /// The zones that are open now.
         open_now: BTreeSet<String>,
@@ -18,7 +18,7 @@
 }
 
 impl DocumentRules {
-    /// Whether sections are held against each other.
+    /// Whether references between sections are checked.
     pub(crate) const fn checks_across_sections(&self) -> bool {
         matches!(self, Self::Complete | Self::Change { .. })
     }
--- a/src/conf/document_tests.rs
+++ b/src/conf/document_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the document's checks and of merging its text.
+//! Tests of document validation and of merging documents by section.
 
 use {
     super::{
@@ -68,7 +68,7 @@
             #[test]
             fn $name() {
                 let text = DOCUMENT.replace($from, $to);
-                assert_ne!(text, DOCUMENT, "the case changes nothing");
+                assert_ne!(text, DOCUMENT, "the case does not change the document");
                 let expected: &[&str] = &$faults;
                 assert_eq!(faults(&text, &DocumentRules::Complete), expected);
             }
@@ -135,7 +135,7 @@
     assert_eq!(
         faults(&text, &change),
         [
-            "line 4: zones.grindavik.state: closes the last open availability zone; say so with --close-last-zone [zones]"
+            "line 4: zones.grindavik.state: closes the last open availability zone; pass --close-last-zone to allow it [zones]"
         ]
     );
     assert!(faults(&text, &DocumentRules::Complete).is_empty());
@@ -143,7 +143,7 @@
     let closed = DocumentRules::Change {
         open_now: BTreeSet::new(),
     };
-    assert!(faults(&text, &closed).is_empty(), "all were out before");
+    assert!(faults(&text, &closed).is_empty(), "no zone was open before");
 }
 
 #[test]
@@ -169,7 +169,7 @@
     assert_eq!(read_document(&shown), read_document(EXAMPLE));
 }
 
-/// A document of generated tables, with comments, blank lines and sections mixed in any order.
+/// Builds a document with comments and blank lines whose sections are interleaved in any order.
 fn generate_document(seed: &[(usize, u8, bool)], author: &str) -> String {
     let mut text = String::new();
     for (number, (section, value, comment)) in seed.iter().enumerate() {
@@ -190,8 +190,8 @@
     text
 }
 
-/// Teams keep comments in their sections. After any merge each section's text is byte for byte
-/// that of the document it was taken from, and the result is a document again.
+/// A merge must not lose or move comments: each section equals its source byte for byte, and the
+/// result is valid TOML.
 #[test]
 fn merge_copies_each_section_byte_for_byte() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]);
@@ -230,5 +230,5 @@
             }
             Ok(())
         })
-        .expect("sections stay whole");
+        .expect("sections stay intact");
 }
--- a/src/conf/entry_settings.rs
+++ b/src/conf/entry_settings.rs
@@ -5,10 +5,10 @@
     std::net::SocketAddr,
 };
 
-/// An operator's token and the sections that it covers.
+/// An operator's token and the sections that it authorizes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct OperatorSettings {
-    /// Shown in the history.
+    /// Author name in the configuration history.
     pub(crate) name: String,
     /// BLAKE3 digest of the token, 64 hex digits.
     pub(crate) token_blake3: String,
@@ -16,43 +16,43 @@
     pub(crate) sections: Vec<String>,
 }
 
-/// Everything that an entry takes from its file.
+/// Settings of an entry in a standalone deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct EntrySettings {
     /// The entry's name on the roster.
     pub(crate) name: String,
     /// The entry host's availability zone.
     pub(crate) availability_zone: String,
-    /// Where clients and operators connect.
+    /// Listen address for clients and operators.
     pub(crate) client_listen: SocketAddr,
-    /// Where agents and other entries connect.
+    /// Listen address for agents and other entries.
     pub(crate) peer_listen: SocketAddr,
-    /// Where agents and other entries reach it, if not where it listens.
+    /// Address advertised to agents and other entries; `peer_listen` by default.
     pub(crate) peer_addr: SocketAddr,
-    /// The platform's table and object store.
+    /// Address of the platform's table and object store.
     pub(crate) platform: SocketAddr,
-    /// Time after which a call to the platform is given up.
+    /// Timeout of a call to the platform.
     pub(crate) platform_timeout_ms: u64,
-    /// Pause between readings of the configuration's head row.
+    /// Polling interval of the configuration's head row.
     pub(crate) head_poll_ms: u64,
-    /// Reads a second that all entries together may ask of the platform.
+    /// Limit of reads per second from the platform, shared by all entries.
     pub(crate) platform_reads_per_s: u64,
-    /// Writes a second that all entries together may ask of the platform.
+    /// Limit of writes per second to the platform, shared by all entries.
     pub(crate) platform_writes_per_s: u64,
-    /// For how long permits may be granted while the platform can't be reached.
+    /// How long permits may be granted while the platform is unreachable.
     pub(crate) outage_limit_ms: u64,
-    /// Largest body of a client's request.
+    /// Size limit of a client's request body.
     pub(crate) max_body_bytes: usize,
-    /// Longest deadline that a client may ask for.
+    /// Upper limit of the deadline of a job.
     pub(crate) max_deadline_ms: u64,
-    /// Operators by token.
+    /// Operators with their tokens.
     pub(crate) operators: Vec<OperatorSettings>,
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) log: LogSettings,
 }
 
 impl EntrySettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let peer_listen = reader.socket_addr("peer_listen");
         Self {
--- a/src/conf/errors.rs
+++ b/src/conf/errors.rs
@@ -1,9 +1,9 @@
-//! Why a file was not taken.
+//! Errors of settings files and configuration documents.
 
 use {super::Fault, quick_error::quick_error, std::io};
 
 quick_error! {
-    /// A settings file or document that can't be used.
+    /// A settings file or configuration document can't be used.
     #[derive(Debug)]
     pub enum ConfError {
         /// The file can't be read.
@@ -11,7 +11,7 @@
             display("{}: {}", path, error)
             source(error)
         }
-        /// The file has faults; all of them are listed.
+        /// The file has invalid content; all faults are listed.
         Faults(path: String, faults: Vec<Fault>) {
             display("{}", list(path, faults))
         }
--- a/src/conf/fault.rs
+++ b/src/conf/fault.rs
@@ -1,17 +1,17 @@
-//! One fault of a file.
+//! A validation fault in a file.
 
 use {serde::Serialize, std::fmt};
 
-/// What is wrong, and where.
+/// A validation fault with its position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub(crate) struct Fault {
     /// Line in the file, from 1.
     pub(crate) line: usize,
-    /// The section, such as `services`; for settings the outermost field.
+    /// Top-level key of the field: a section such as `services`, or a settings key.
     pub(crate) section: String,
     /// Path of the field, such as `services.rent-index.memory_mb`.
     pub(crate) field: String,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub(crate) message: String,
 }
 
--- a/src/conf/load.rs
+++ b/src/conf/load.rs
@@ -1,11 +1,11 @@
-//! Reads a settings file.
+//! Loading of settings files.
 
 use {
     super::{ConfError, Fault, TableReader},
     std::{fs, path::Path},
 };
 
-/// Reads the file and hands its tables to `read`; every fault is reported at once.
+/// Loads a settings file with `read`; the error lists all faults, not only the first.
 pub(crate) fn load_settings<S>(
     path: &Path,
     read: impl FnOnce(&mut TableReader<'_>) -> S,
@@ -15,7 +15,7 @@
     parse_settings(&text, read).map_err(|faults| ConfError::Faults(name, faults))
 }
 
-/// Reads settings from text.
+/// Parses settings from text.
 pub(super) fn parse_settings<S>(
     text: &str,
     read: impl FnOnce(&mut TableReader<'_>) -> S,
--- a/src/conf/log_settings.rs
+++ b/src/conf/log_settings.rs
@@ -1,22 +1,22 @@
-//! How a process logs.
+//! Settings of the process log.
 
 use super::TableReader;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
 /// The `[log]` table of each settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct LogSettings {
-    /// The form of log lines.
+    /// Format of log lines.
     pub(crate) format: LogFormat,
-    /// Least severe level shown: error, warn, info, debug or trace.
+    /// Least severe level written: error, warn, info, debug or trace.
     pub(crate) level: String,
 }
 
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Settings files and the configuration document, checked as a whole.
+//! Parsing and validation of settings files and the configuration document.
 
 mod agent_settings;
 mod document_reader;
--- a/src/conf/program_settings.rs
+++ b/src/conf/program_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a service program, for either kind of deployment.
+//! Settings of `rattanslip-entry` and `rattanslip-agent` for each kind of deployment.
 
 use super::{
     AgentSettings, EntrySettings, LogSettings, TableReader,
@@ -8,14 +8,14 @@
 /// Settings of `rattanslip-entry`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum EntryProgramSettings {
-    /// With the product's own interfaces.
+    /// For a standalone deployment.
     Standalone(EntrySettings),
-    /// On a site.
+    /// For a site.
     Site(SiteEntrySettings),
 }
 
 impl EntryProgramSettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
             Deployment::Standalone => Self::Standalone(EntrySettings::read(reader)),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) const fn log(&self) -> &LogSettings {
         match self {
             Self::Standalone(settings) => &settings.log,
@@ -35,14 +35,14 @@
 /// Settings of `rattanslip-agent`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AgentProgramSettings {
-    /// With the product's own interfaces.
+    /// For a standalone deployment.
     Standalone(AgentSettings),
-    /// On a site.
+    /// For a site.
     Site(SiteAgentSettings),
 }
 
 impl AgentProgramSettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
             Deployment::Standalone => Self::Standalone(AgentSettings::read(reader)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) const fn log(&self) -> &LogSettings {
         match self {
             Self::Standalone(settings) => &settings.log,
--- a/src/conf/section_texts.rs
+++ b/src/conf/section_texts.rs
@@ -1,4 +1,4 @@
-//! The text of each section, cut out and put together without touching a byte of it.
+//! Splits a document into its sections and merges sections without reformatting them.
 
 use {
     crate::core::config::SECTIONS,
@@ -6,17 +6,17 @@
     toml_edit::{Document, Item, Table},
 };
 
-/// Begins the line by which `show` says what a document was made from.
+/// Prefix of the first line of a document printed by `show`; the version number follows.
 const VERSION_COMMENT_PREFIX: &str = "# rattanslip version ";
 
-/// A header with all that belongs to it: the comments above it and the fields below it.
+/// A table header with the comments above it and the fields below it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Chunk<'a> {
     section: &'static str,
     text: &'a str,
 }
 
-/// The version that a document says it was made from, and the document without that line.
+/// Splits off the version comment; the document is unchanged if it has none.
 pub(crate) fn split_version_comment(text: &str) -> (Option<u64>, &str) {
     let Some(rest) = text.strip_prefix(VERSION_COMMENT_PREFIX) else {
         return (None, text);
@@ -28,12 +28,12 @@
     }
 }
 
-/// The document with the line that says what it was made from.
+/// Prepends the version comment to the document.
 pub(crate) fn with_version_comment(version: u64, text: &str) -> String {
     format!("{VERSION_COMMENT_PREFIX}{version}\n{text}")
 }
 
-/// Each section's text.
+/// Text of each section, including its comments.
 pub(crate) fn section_texts(text: &str) -> BTreeMap<&'static str, String> {
     let mut texts = BTreeMap::new();
     for chunk in chunks(text) {
@@ -43,9 +43,9 @@
     texts
 }
 
-/// The document in force with some sections taken from another document.
+/// Replaces the `changed` sections of the current document by those of the draft.
 ///
-/// A section that is taken stands where it stood before, a new one at the end.
+/// A replaced section stays in its position; a new one is appended.
 pub(crate) fn merge_sections(current: &str, draft: &str, changed: &[&'static str]) -> String {
     let draft = section_texts(draft);
     let mut merged = String::with_capacity(current.len());
@@ -69,7 +69,7 @@
     merged
 }
 
-/// Appends text that must begin on a line of its own.
+/// Appends text, on a new line.
 fn push_lines(merged: &mut String, text: &str) {
     if !merged.is_empty() && !merged.ends_with('\n') && !text.is_empty() {
         merged.push('\n');
@@ -77,7 +77,7 @@
     merged.push_str(text);
 }
 
-/// The document cut before the comments of each header; text that can't be parsed has none.
+/// Splits the document before the comments above each header; empty for text that can't be parsed.
 fn chunks(text: &str) -> Vec<Chunk<'_>> {
     let Ok(document) = Document::parse(text) else {
         return Vec::new();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Where the comments just above a header begin; blank lines before them end the chunk before.
+/// Start of the comments above a header; blank lines before them belong to the previous chunk.
 fn leading_comments_start(text: &str, header: usize) -> usize {
     let mut position = header;
     let mut start = header;
--- a/src/conf/site_settings.rs
+++ b/src/conf/site_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of entries and agents on a site with a platform store.
+//! Settings of entries and agents on a site.
 
 use {
     super::{LogSettings, TableReader},
@@ -6,22 +6,22 @@
     std::net::SocketAddr,
 };
 
-/// What entries and agents have in common.
+/// Settings that entries and agents on a site share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SiteSettings {
     /// The process's name in logs.
     pub(crate) name: String,
     /// The host's availability zone.
     pub(crate) availability_zone: String,
-    /// Where metrics are served.
+    /// Listen address for metrics.
     pub(crate) metrics_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub(crate) store: SocketAddr,
-    /// Bounds that keep two runs of one task apart.
+    /// Time limits that prevent two runs of one task from overlapping.
     pub(crate) limits: RunLimits,
-    /// Time from the signal to stop until the process is killed, in seconds.
+    /// Time between the stop signal and the kill by the platform, in seconds.
     pub(crate) stop_grace_s: u64,
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) log: LogSettings,
 }
 
@@ -41,23 +41,23 @@
     }
 }
 
-/// Everything that an entry on such a site takes from its file.
+/// Settings of an entry on a site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SiteEntrySettings {
-    /// What it has in common with agents.
+    /// Settings shared with agents.
     pub(crate) site: SiteSettings,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub(crate) client_listen: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Listen address for the load balancer's readiness checks.
     pub(crate) ready_listen: SocketAddr,
-    /// Where agents connect.
+    /// Listen address for agents.
     pub(crate) link_listen: SocketAddr,
-    /// Where agents reach it, if not where it listens.
+    /// Address advertised to agents; `link_listen` by default.
     pub(crate) link_addr: SocketAddr,
 }
 
 impl SiteEntrySettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let link_listen = reader.socket_addr("link_listen");
         Self {
@@ -70,23 +70,23 @@
     }
 }
 
-/// Everything that an agent on such a site takes from its file.
+/// Settings of an agent on a site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SiteAgentSettings {
-    /// What it has in common with entries.
+    /// Settings shared with entries.
     pub(crate) site: SiteSettings,
-    /// The service of the worker beside it.
+    /// Service of the local worker.
     pub(crate) service: String,
-    /// Where the worker takes calls.
+    /// Address of the local worker.
     pub(crate) worker: SocketAddr,
-    /// Where the worker reports.
+    /// Listen address for the worker's reports.
     pub(crate) worker_listen: SocketAddr,
-    /// Entries to begin with where the list of them can't be read; some may be gone.
+    /// Entries to connect to at start if the entry list can't be read; some may no longer exist.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
 impl SiteAgentSettings {
-    /// Reads the file's root table.
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         Self {
             site: SiteSettings::read(reader),
@@ -98,17 +98,17 @@
     }
 }
 
-/// Which kind of deployment a settings file is for.
+/// Kind of deployment that a settings file is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Deployment {
-    /// The product's own interfaces, towards clients and backend servers alike.
+    /// Clients and backend servers use rattanslip's own protocols.
     Standalone,
-    /// A site with a platform's store, workers and clients.
+    /// The site's platform defines the store and the protocols of workers and clients.
     Site,
 }
 
 impl Deployment {
-    /// Reads which kind a file is for.
+    /// Reads the `deployment` field.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         reader.choice(
             "deployment",
--- a/src/conf/table_reader.rs
+++ b/src/conf/table_reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables field by field and gathers every fault with its line.
+//! Reads TOML tables field by field and collects all faults with their lines.
 
 use {
     super::Fault,
@@ -12,7 +12,7 @@
     toml_edit::{Document, Item, TableLike},
 };
 
-/// One table of a file; fields that nobody asked for are faults.
+/// Reader of one TOML table; a field that is never requested is a fault.
 pub(crate) struct TableReader<'a> {
     text: &'a str,
     path: String,
@@ -23,7 +23,7 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Parses the text and hands its root table to `read`.
+    /// Parses the text and reads its root table with `read`.
     pub(crate) fn read_text<T>(
         text: &str,
         read: impl FnOnce(&mut TableReader<'_>) -> T,
@@ -59,7 +59,7 @@
         Err(faults)
     }
 
-    /// The path of one of the table's fields.
+    /// Full path of a field of this table.
     pub(crate) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_owned();
@@ -67,7 +67,7 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Notes a fault of one of the table's fields.
+    /// Records a fault of a field of this table.
     pub(crate) fn report_fault(&self, key: &str, message: impl Into<String>) {
         let span = self
             .table
@@ -78,7 +78,7 @@
         self.push_fault(span, field, message.into());
     }
 
-    /// Notes a fault of a field further down, at the line of the nearest table or field there is.
+    /// Records a fault of a nested field, at the line of its innermost existing parent.
     pub(crate) fn report_fault_at(&self, path: &[&str], message: impl Into<String>) {
         let mut table = self.table;
         let mut span = self.span.clone();
@@ -95,7 +95,7 @@
         self.push_fault(span, self.path_of(&path.join(".")), message.into());
     }
 
-    /// Notes a fault if a table is written without a header, as `zones.a = {}` or `zones = {}`.
+    /// Records a fault if a table is written without a header, as `zones.a = {}` or `zones = {}`.
     pub(crate) fn require_header(&self, key: &str) {
         let item = self.table.and_then(|table| table.get(key));
         let has_header = |item: &Item| item.as_table().is_none_or(|table| !table.is_dotted());
@@ -115,7 +115,7 @@
         });
     }
 
-    /// The names of the table's fields.
+    /// Names of the fields of this table.
     pub(crate) fn keys(&self) -> Vec<String> {
         self.table
             .map(|table| table.iter().map(|(key, _)| key.to_owned()).collect())
@@ -127,7 +127,7 @@
         self.table.and_then(|table| table.get(key))
     }
 
-    /// A table within this one; an absent one reads as empty.
+    /// Reads a subtable; an absent one is read as empty.
     pub(crate) fn table<T>(
         &mut self,
         key: &str,
@@ -156,7 +156,7 @@
         value
     }
 
-    /// A string, or the default; without a default the field is required.
+    /// Reads a string; the field is required if there is no default.
     pub(crate) fn string(&mut self, key: &str, default: Option<&str>) -> String {
         match self.item(key).map(|item| item.as_str()) {
             Some(Some(text)) => return text.to_owned(),
@@ -167,7 +167,7 @@
         default.unwrap_or_default().to_owned()
     }
 
-    /// A non-empty string.
+    /// Reads a required, non-empty string.
     pub(crate) fn name(&mut self, key: &str) -> String {
         let present = self.table.is_some_and(|table| table.contains_key(key));
         let text = self.string(key, None);
@@ -177,7 +177,7 @@
         text
     }
 
-    /// One of a few words.
+    /// Reads one of the given values, or the default.
     pub(crate) fn choice<T: Copy>(&mut self, key: &str, choices: &[(&str, T)], default: T) -> T {
         let Some(item) = self.item(key) else {
             return default;
@@ -193,7 +193,7 @@
         default
     }
 
-    /// A whole number within a range, or the default.
+    /// Reads an integer within a range; the field is required if there is no default.
     pub(crate) fn number<N>(&mut self, key: &str, range: RangeInclusive<N>, default: Option<N>) -> N
     where
         N: Copy + PartialOrd + Display + TryFrom<i64>,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// True or false, or the default.
+    /// Reads a boolean, or the default.
     pub(crate) fn boolean(&mut self, key: &str, default: bool) -> bool {
         let Some(item) = self.item(key) else {
             return default;
@@ -227,7 +227,7 @@
         })
     }
 
-    /// A list of strings; an absent one reads as empty.
+    /// Reads a list of strings; an absent one is read as empty.
     pub(crate) fn strings(&mut self, key: &str) -> Vec<String> {
         let Some(item) = self.item(key) else {
             return Vec::new();
@@ -246,7 +246,7 @@
         texts
     }
 
-    /// An IP number with a port; host names aren't looked up.
+    /// Reads a required IP address with a port; host names are not resolved.
     pub(crate) fn socket_addr(&mut self, key: &str) -> SocketAddr {
         let fallback = SocketAddr::from(([127, 0, 0, 1], 0));
         let present = self.table.is_some_and(|table| table.contains_key(key));
@@ -257,13 +257,13 @@
         text.parse().unwrap_or_else(|_| {
             self.report_fault(
                 key,
-                "must be an IP number with a port, such as 127.0.0.1:7000",
+                "must be an IP address with a port, such as 127.0.0.1:7000",
             );
             fallback
         })
     }
 
-    /// An IP number with a port, or the default.
+    /// Reads an IP address with a port, or the default.
     pub(crate) fn socket_addr_or(&mut self, key: &str, default: SocketAddr) -> SocketAddr {
         if self.table.is_some_and(|table| table.contains_key(key)) {
             return self.socket_addr(key);
@@ -271,12 +271,12 @@
         default
     }
 
-    /// A list of IP numbers with ports.
+    /// Reads a list of IP addresses with ports; an absent one is read as empty.
     pub(crate) fn socket_addrs(&mut self, key: &str) -> Vec<SocketAddr> {
         let texts = self.strings(key);
         let addrs: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
         if addrs.len() != texts.len() {
-            self.report_fault(key, "each must be an IP number with a port");
+            self.report_fault(key, "each must be an IP address with a port");
         }
         addrs
     }
@@ -290,7 +290,7 @@
     }
 }
 
-/// The line, from 1, of a position in the text.
+/// Line number, from 1, of a byte position in the text.
 fn line_number_at(text: &str, position: usize) -> usize {
     let end = position.min(text.len());
     1 + text.as_bytes()[..end]
@@ -299,7 +299,7 @@
         .count()
 }
 
-/// The first name of the header above a position, for faults of syntax.
+/// Section of the nearest header at or above a position, for syntax errors.
 fn section_at(text: &str, position: usize) -> String {
     let end = text[position.min(text.len())..]
         .find('\n')
--- a/src/conf/tests.rs
+++ b/src/conf/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of settings and of the configuration document.
+//! Tests of settings files and of the example documents.
 
 use super::{EntrySettings, TableReader, read_document};
 
@@ -10,7 +10,6 @@
 platform = "127.0.0.1:7000"
 "#;
 
-/// The deployments of today, as the examples give them.
 const EXAMPLES: [&str; 2] = [
     include_str!("../../examples/hafsteinsson.toml"),
     include_str!("../../examples/chikushi.toml"),
@@ -71,11 +70,11 @@
             "line 1: name: is required",
             "line 2: nmae: unknown field",
             "line 6: platform: must be a string",
-            "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
+            "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
             "line 7: head_poll_ms: must be a whole number from 50 to 2000",
         ];
     host_names_are_rejected: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
-        "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
+        "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
     ];
 }
 
--- a/src/conf/zone_edit.rs
+++ b/src/conf/zone_edit.rs
@@ -1,12 +1,12 @@
-//! Changes one availability zone's state within a document's text.
+//! Edits the state of an availability zone in the text of a document.
 
 use {
     crate::core::config::ZoneState,
     toml_edit::{DocumentMut, TableLike, Value},
 };
 
-/// The document with one zone's state changed and everything else as it was; `None` if the
-/// document has no such zone.
+/// Sets a zone's state and leaves the rest of the text unchanged; `None` if the document has no
+/// such zone.
 pub(crate) fn with_zone_state(text: &str, zone: &str, state: ZoneState) -> Option<String> {
     let mut document: DocumentMut = text.parse().ok()?;
     let zone = document
@@ -18,7 +18,7 @@
     Some(document.to_string())
 }
 
-/// Sets the state and keeps the comment behind it.
+/// Sets the state and preserves the comment after it.
 fn set_state(zone: &mut dyn TableLike, state: ZoneState) {
     let mut value = Value::from(state.as_str());
     if let Some(old) = zone.get("state").and_then(toml_edit::Item::as_value) {
