--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -1,10 +1,10 @@
-//! The platform's table store: the operators' rows, and the list of entries.
+//! Client of the platform's table store: operators' rows, the list of entries, and worker views.
 
 use {
     super::{
-        PlatformCaller, PlatformError,
+        PlatformError, PlatformHttpClient,
         json::{read_json, write_json},
-        platform_caller::PlatformCall,
+        platform_http_client::PlatformRequest,
     },
     crate::{
         core::{document::Document, link::EvacuatedZones, work::WorkerView},
@@ -22,29 +22,29 @@
 
 /// The operators' table.
 const OPERATORS_TABLE: &str = "op";
-/// Its row with the whole configuration.
+/// Key of the operators' row with the complete configuration.
 const CONFIG_KEY: &str = "config";
-/// Keys of its rows that name zones which are taken out.
+/// Key prefix of the operators' rows that name evacuated zones.
 const EVACUATE_PREFIX: &str = "evacuate/";
-/// The system's table of entries.
+/// The project's table of entries.
 const ENTRIES_TABLE: &str = "rattanslip_entries";
-/// The system's table of workers, with a part for each agent.
+/// The project's table of workers, with a part for each agent.
 const WORKERS_TABLE: &str = "rattanslip_workers";
-/// Key of an agent's row there.
+/// Key of an agent's row in [`WORKERS_TABLE`].
 const WORKER_KEY: &str = "worker";
-/// Time for an answer to begin, in milliseconds; a slow store takes 50 times its usual 4.
+/// Time for a response to start, in milliseconds; a slow store takes up to 200 ms.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// Time without a byte after which an answer that has begun is given up, in milliseconds.
-const BODY_PAUSE_MS: u64 = 1_000;
-/// Time beyond the asked wait after which a feed is given up, in milliseconds; as above.
-const FEED_SLACK_MS: u64 = 500;
+/// Maximum gap while a response body is read, in milliseconds.
+const BODY_IDLE_TIMEOUT_MS: u64 = 1_000;
+/// Timeout of a feed call beyond the requested wait, in milliseconds.
+const FEED_TIMEOUT_MARGIN_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
 struct RowBody {
     key: String,
     #[serde(default)]
     value: String,
-    /// The version of the store that changed the row last.
+    /// The store version of the row's latest change.
     #[serde(default)]
     ver: u64,
     #[serde(default)]
@@ -57,7 +57,7 @@
     rows: Vec<RowBody>,
     #[serde(default)]
     truncated: bool,
-    /// The store's newest version, not that of a row; after a transaction, the version that it made.
+    /// The latest store version, or the version that a transaction created.
     ver: u64,
 }
 
@@ -68,7 +68,7 @@
     key: &'a str,
 }
 
-/// A row that must have this version for the transaction to be applied.
+/// A row that must have this version for the transaction to succeed.
 #[derive(Debug, Serialize)]
 struct ExpectedRow<'a> {
     #[serde(flatten)]
@@ -90,17 +90,16 @@
     remove: Vec<RowKey<'a>>,
 }
 
-/// The store at one address.
+/// Client of the store at one address.
 #[derive(Debug)]
 pub(crate) struct RowsStore {
-    caller: PlatformCaller,
+    client: PlatformHttpClient,
     addr: SocketAddr,
 }
 
 impl RowsStore {
-    /// The store that listens there.
-    pub(crate) const fn new(caller: PlatformCaller, addr: SocketAddr) -> Self {
-        Self { caller, addr }
+    pub(crate) const fn new(client: PlatformHttpClient, addr: SocketAddr) -> Self {
+        Self { client, addr }
     }
 
     async fn get(
@@ -108,7 +107,7 @@
         path: String,
         timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let call = PlatformCall {
+        let call = PlatformRequest {
             method: Method::GET,
             to: self.addr,
             path,
@@ -116,11 +115,15 @@
             body: Vec::new(),
             timeout_ms,
         };
-        self.caller.read(call, BODY_PAUSE_MS).await
+        self.client.call_streaming(call, BODY_IDLE_TIMEOUT_MS).await
     }
 
-    /// All rows of one part of a table, and the store's version.
-    async fn rows(&self, table: &str, part: &str) -> Result<(Vec<RowBody>, u64), PlatformError> {
+    /// Reads all rows of one part of a table, and the store version.
+    async fn read_rows(
+        &self,
+        table: &str,
+        part: &str,
+    ) -> Result<(Vec<RowBody>, u64), PlatformError> {
         let mut rows: Vec<RowBody> = Vec::new();
         let mut from = String::new();
         let mut version = None;
@@ -128,44 +131,44 @@
             let path = format!("/v1/rows-get?table={table}&part={part}{from}");
             let (status, body) = self.get(path, CALL_TIMEOUT_MS).await?;
             if status != StatusCode::OK {
-                return Err(PlatformError::Refused(status));
+                return Err(PlatformError::Rejected(status));
             }
             let page: RowsBody = read_json(&body)?;
             rows.extend(page.rows);
-            // The first page is the oldest; what changed after it is told by the feed.
+            // The feed delivers all changes after the version of the first page.
             let version = *version.get_or_insert(page.ver);
             let last = rows.last().filter(|_| page.truncated);
             match last {
-                // Keys are in ascending order, and the smallest key above a text is that text and a zero byte.
+                // Keys are in ascending order; a key with an appended zero byte is the next possible key.
                 Some(last) => from = format!("&from={}%00", last.key),
                 None => return Ok((rows, version)),
             }
         }
     }
 
-    /// The rows of a table that changed after a version, and the store's version; none where they are no longer known.
-    async fn changes(
+    /// Waits for rows of a table that changed after a version; `None` if the store no longer has these changes.
+    async fn wait_for_changes(
         &self,
         table: &str,
         after: u64,
         wait_ms: u64,
     ) -> Result<Option<RowsBody>, PlatformError> {
         let path = format!("/v1/rows-feed?table={table}&after={after}&wait_ms={wait_ms}");
-        let (status, body) = self.get(path, wait_ms + FEED_SLACK_MS).await?;
+        let (status, body) = self.get(path, wait_ms + FEED_TIMEOUT_MARGIN_MS).await?;
         match status {
             StatusCode::OK => {
                 let page: RowsBody = read_json(&body)?;
                 Ok((!page.truncated).then_some(page))
             }
             StatusCode::GONE => Ok(None),
-            status => Err(PlatformError::Refused(status)),
+            status => Err(PlatformError::Rejected(status)),
         }
     }
 
-    /// Applies a transaction; the version that it made, or `None` where a row had another version than expected.
+    /// Executes a transaction and returns the version that it created; `None` if a row had an unexpected version.
     async fn transact(&self, body: &TransactionBody<'_>) -> Result<Option<u64>, PlatformError> {
         let body = write_json(body)?;
-        let call = PlatformCall {
+        let call = PlatformRequest {
             method: Method::POST,
             to: self.addr,
             path: "/v1/rows-tx".to_owned(),
@@ -173,50 +176,50 @@
             body,
             timeout_ms: CALL_TIMEOUT_MS,
         };
-        match self.caller.call(call).await? {
+        match self.client.call(call).await? {
             (StatusCode::OK, body) => Ok(Some(read_json::<RowsBody>(&body)?.ver)),
             (StatusCode::PRECONDITION_FAILED, _) => Ok(None),
-            (status, _) => Err(PlatformError::Refused(status)),
+            (status, _) => Err(PlatformError::Rejected(status)),
         }
     }
 }
 
 /// The operators' rows of a page.
 #[derive(Debug, Default)]
-struct OperatorRowsBody {
-    /// Zones that the page names, and whether they are out.
+struct OperatorRowsPage {
+    /// Zones that the page names, and whether they are evacuated.
     zones: BTreeMap<String, bool>,
     document: Option<Document>,
 }
 
-impl OperatorRowsBody {
-    /// Reads rows in order; a later one of the same key counts.
-    fn read(rows: &[RowBody]) -> Result<Self, PlatformError> {
-        let mut read = Self::default();
+impl OperatorRowsPage {
+    /// Parses rows in order; a later row replaces an earlier one of the same key.
+    fn parse(rows: &[RowBody]) -> Result<Self, PlatformError> {
+        let mut page = Self::default();
         for row in rows {
             if let Some(zone) = row.key.strip_prefix(EVACUATE_PREFIX) {
-                read.zones.insert(zone.to_owned(), !row.deleted);
+                page.zones.insert(zone.to_owned(), !row.deleted);
             } else if row.key == CONFIG_KEY && !row.deleted {
-                read.document = Some(Document {
+                page.document = Some(Document {
                     revision: row.ver,
                     text: Arc::from(decode(row)?),
                 });
             }
         }
-        Ok(read)
+        Ok(page)
     }
 }
 
 fn decode(row: &RowBody) -> Result<Vec<u8>, PlatformError> {
     let value = STANDARD.decode(&row.value);
-    value.map_err(|error| PlatformError::Unreadable(error.to_string()))
+    value.map_err(|error| PlatformError::Malformed(error.to_string()))
 }
 
 #[async_trait]
 impl SiteStore for RowsStore {
     async fn read_operator_rows(&self) -> Result<OperatorRows, StoreError> {
-        let (rows, version) = self.rows(OPERATORS_TABLE, "").await?;
-        let changed = OperatorRowsBody::read(&rows)?;
+        let (rows, version) = self.read_rows(OPERATORS_TABLE, "").await?;
+        let changed = OperatorRowsPage::parse(&rows)?;
         let zones = changed.zones.into_iter();
         Ok(OperatorRows {
             zones: EvacuatedZones {
@@ -235,14 +238,17 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<OperatorChange, StoreError> {
-        let Some(page) = self.changes(OPERATORS_TABLE, after, wait_ms).await? else {
+        let Some(page) = self
+            .wait_for_changes(OPERATORS_TABLE, after, wait_ms)
+            .await?
+        else {
             return Ok(OperatorChange::Forgotten);
         };
         let version = page.ver;
         if page.rows.is_empty() {
             return Ok(OperatorChange::None { version });
         }
-        let OperatorRowsBody { zones, document } = OperatorRowsBody::read(&page.rows)?;
+        let OperatorRowsPage { zones, document } = OperatorRowsPage::parse(&page.rows)?;
         Ok(OperatorChange::Rows {
             version,
             zones,
@@ -252,10 +258,10 @@
 
     async fn read_entries(
         &self,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
     ) -> Result<(Vec<SocketAddr>, u64), StoreError> {
-        let part = copy.number().to_string();
-        let (rows, version) = self.rows(ENTRIES_TABLE, &part).await?;
+        let part = replica.number().to_string();
+        let (rows, version) = self.read_rows(ENTRIES_TABLE, &part).await?;
         let entries = rows.iter().filter_map(|row| row.key.parse().ok());
         Ok((entries.collect(), version))
     }
@@ -265,7 +271,7 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<EntryListChange, StoreError> {
-        let page = self.changes(ENTRIES_TABLE, after, wait_ms).await?;
+        let page = self.wait_for_changes(ENTRIES_TABLE, after, wait_ms).await?;
         let unchanged = page.filter(|page| page.rows.is_empty());
         Ok(
             unchanged.map_or(EntryListChange::Some, |page| EntryListChange::None {
@@ -277,9 +283,9 @@
     async fn add_entry(
         &self,
         entry: SocketAddr,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
     ) -> Result<u64, StoreError> {
-        let (key, part) = (entry.to_string(), copy.number().to_string());
+        let (key, part) = (entry.to_string(), replica.number().to_string());
         let put = PutRow {
             row: entry_row(&key, &part),
             value: String::new(),
@@ -289,18 +295,18 @@
             ..TransactionBody::default()
         };
         let version = self.transact(&body).await?;
-        // Without an expected version there is nothing that could fail it.
-        let conflict = || PlatformError::Refused(StatusCode::PRECONDITION_FAILED);
+        // Unreachable: the transaction expects no versions.
+        let conflict = || PlatformError::Rejected(StatusCode::PRECONDITION_FAILED);
         Ok(version.ok_or_else(conflict)?)
     }
 
     async fn remove_entry(
         &self,
         entry: SocketAddr,
-        copy: EntryListReplica,
+        replica: EntryListReplica,
         version: u64,
     ) -> Result<(), StoreError> {
-        let (key, part) = (entry.to_string(), copy.number().to_string());
+        let (key, part) = (entry.to_string(), replica.number().to_string());
         let row = entry_row(&key, &part);
         let body = TransactionBody {
             expect_rev: vec![ExpectedRow { row, ver: version }],
@@ -313,7 +319,7 @@
     }
 
     async fn read_worker(&self, agent: &str) -> Result<Option<WorkerView>, StoreError> {
-        let (rows, _) = self.rows(WORKERS_TABLE, agent).await?;
+        let (rows, _) = self.read_rows(WORKERS_TABLE, agent).await?;
         let Some(row) = rows.first() else {
             return Ok(None);
         };
