--- a/src/conf/document_reader.rs
+++ b/src/conf/document_reader.rs
@@ -170,7 +170,7 @@
     for zone in open_now {
         root.report_fault_at(
             &["zones", zone, "state"],
-            "closes the last open availability zone; pass --close-last-zone to allow it",
+            "closes the last open availability zone; say so with --close-last-zone",
         );
     }
 }
--- a/src/conf/document_tests.rs
+++ b/src/conf/document_tests.rs
@@ -135,7 +135,7 @@
     assert_eq!(
         faults(&text, &change),
         [
-            "line 4: zones.grindavik.state: closes the last open availability zone; pass --close-last-zone to allow it [zones]"
+            "line 4: zones.grindavik.state: closes the last open availability zone; say so with --close-last-zone [zones]"
         ]
     );
     assert!(faults(&text, &DocumentRules::Complete).is_empty());
--- a/src/conf/table_reader.rs
+++ b/src/conf/table_reader.rs
@@ -257,7 +257,7 @@
         text.parse().unwrap_or_else(|_| {
             self.report_fault(
                 key,
-                "must be an IP address with a port, such as 127.0.0.1:7000",
+                "must be an IP number with a port, such as 127.0.0.1:7000",
             );
             fallback
         })
@@ -276,7 +276,7 @@
         let texts = self.strings(key);
         let addrs: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
         if addrs.len() != texts.len() {
-            self.report_fault(key, "each must be an IP address with a port");
+            self.report_fault(key, "each must be an IP number with a port");
         }
         addrs
     }
--- a/src/conf/tests.rs
+++ b/src/conf/tests.rs
@@ -70,11 +70,11 @@
             "line 1: name: is required",
             "line 2: nmae: unknown field",
             "line 6: platform: must be a string",
-            "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
+            "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
             "line 7: head_poll_ms: must be a whole number from 50 to 2000",
         ];
     host_names_are_rejected: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
-        "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
+        "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
     ];
 }
 
