--- a/src/core/tests/world.rs
+++ b/src/core/tests/world.rs
@@ -748,12 +748,12 @@
                     ExecutionEvent::StartAnswered { call, response }
                 }
                 ExecutionAction::Stop(call) => {
-                    let meant = call.worker == self.workers[worker].life.id;
+                    let meant = call.worker == self.workers[worker].incarnation.id;
                     let confirmed = meant && self.workers[worker].stop(&call);
                     ExecutionEvent::StopAnswered { call, confirmed }
                 }
                 ExecutionAction::Hold(call) => {
-                    let response = if call.worker == self.workers[worker].life.id {
+                    let response = if call.worker == self.workers[worker].incarnation.id {
                         self.workers[worker].hold(now, &call)
                     } else {
                         HoldResponse::OtherWorker
@@ -779,7 +779,7 @@
         worker: usize,
         call: &crate::core::execution::StartCall,
     ) -> StartResponse {
-        if call.worker != self.workers[worker].life.id {
+        if call.worker != self.workers[worker].incarnation.id {
             return StartResponse::Rejected;
         }
         let now = self.now;
@@ -815,7 +815,7 @@
             self.tick_ends(other);
             if other != worker
                 && self.alive[other]
-                && self.workers[other].at_work().contains_key(&task)
+                && self.workers[other].active_runs().contains_key(&task)
             {
                 let what = format!("{task} runs twice, at workers {worker} and {other}");
                 self.checks.break_promise(what);
@@ -843,7 +843,7 @@
         let model = &mut self.workers[worker];
         model.reports += 1;
         let view = WorkerView {
-            life: model.life.clone(),
+            life: model.incarnation.clone(),
             service: "shares".to_owned(),
             availability_zone: ZONES[worker % ZONES.len()].to_owned(),
             capacity: Resources {
@@ -875,7 +875,7 @@
         let born = self.now.as_micros() / 1_000;
         let old = &self.workers[worker];
         let id = if same_name {
-            old.life.id.clone()
+            old.incarnation.id.clone()
         } else {
             format!("w{worker}-{born}")
         };
@@ -887,7 +887,7 @@
 
     fn runs_at(&self, worker: usize) -> usize {
         if self.alive[worker] {
-            self.workers[worker].at_work().len()
+            self.workers[worker].active_runs().len()
         } else {
             0
         }
--- a/src/load/exchange.rs
+++ b/src/load/load_client.rs
@@ -17,11 +17,11 @@
 };
 
 /// Most times that a blindly retrying client sends the same job.
-const BLIND_ATTEMPTS: usize = 2;
+const MAX_BLIND_ATTEMPTS: usize = 2;
 /// Pause of a blindly retrying client, in milliseconds.
-const BLIND_PAUSE_MS: u64 = 50;
+const BLIND_RETRY_INTERVAL_MS: u64 = 50;
 /// Time beyond the deadline after which a missing answer counts as lost, in milliseconds.
-const LOST_AFTER_MS: u64 = 3_000;
+const RESPONSE_GRACE_MS: u64 = 3_000;
 
 /// What the client saw of one try.
 #[derive(Debug)]
@@ -87,21 +87,21 @@
         cancel_at: Instant,
     ) -> JobResult {
         let mut attempts = Vec::new();
-        let tries = if self.args.blind_retry {
-            BLIND_ATTEMPTS
+        let max_attempts = if self.args.blind_retry {
+            MAX_BLIND_ATTEMPTS
         } else {
             1
         };
-        for turn in 0..tries {
-            let entry = self.args.entries[(number + turn) % self.args.entries.len()];
-            let attempt = self.attempt(entry, number, job, cancel_at).await;
+        for retry in 0..max_attempts {
+            let entry = self.args.entries[(number + retry) % self.args.entries.len()];
+            let attempt = self.send_job(entry, number, job, cancel_at).await;
             let done = attempt.is_done();
             attempts.push(attempt);
             if done {
                 break;
             }
-            if turn + 1 < tries {
-                sleep(Duration::from_millis(BLIND_PAUSE_MS)).await;
+            if retry + 1 < max_attempts {
+                sleep(Duration::from_millis(BLIND_RETRY_INTERVAL_MS)).await;
             }
         }
         JobResult {
@@ -111,18 +111,18 @@
         }
     }
 
-    async fn attempt(
+    async fn send_job(
         &self,
         entry: SocketAddr,
         number: usize,
         job: &PlannedJob,
         cancel_at: Instant,
     ) -> Attempt {
-        let Some(ticket) = self.tickets.take(&self.http, entry).await else {
+        let Some(ticket) = self.tickets.acquire(&self.http, entry).await else {
             return failed_attempt(None, "not-run no_ticket_in_hand", false);
         };
         let parsed = ticket.parse().ok();
-        let limit = Duration::from_millis(job.deadline_ms + LOST_AFTER_MS);
+        let limit = Duration::from_millis(job.deadline_ms + RESPONSE_GRACE_MS);
         let headers = [
             (TICKET_HEADER, ticket.as_str()),
             (TEAM_HEADER, self.args.team.as_str()),
@@ -131,7 +131,7 @@
         let sending = self
             .http
             .send(Method::POST, entry, "/v1/jobs", &headers, body);
-        let answer = async {
+        let response = async {
             if !job.cancelled {
                 return timeout(limit, sending).await;
             }
@@ -148,10 +148,10 @@
                 .await;
             timeout(limit, sending).await
         };
-        match answer.await {
+        match response.await {
             Ok(Ok(reply)) => {
-                self.tickets.put(reply.header(NEXT_TICKET_HEADER));
-                read_attempt(parsed, &reply, number, job)
+                self.tickets.add(reply.header(NEXT_TICKET_HEADER));
+                parse_attempt(parsed, &reply, number, job)
             }
             Ok(Err(_)) => failed_attempt(parsed, "unreachable", true),
             Err(_) => failed_attempt(parsed, "no answer", true),
@@ -199,7 +199,7 @@
     format!("job {number} task {index}")
 }
 
-fn read_attempt(
+fn parse_attempt(
     ticket: Option<Ticket>,
     reply: &HttpClientResponse,
     number: usize,
@@ -207,9 +207,9 @@
 ) -> Attempt {
     let verdict = reply.header(VERDICT_HEADER);
     let reason = reply.header(REASON_HEADER);
-    let answer: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
-    let tasks = answer["tasks"].as_array().map_or(&[][..], Vec::as_slice);
-    let all_own = tasks.len() == job.tasks.len()
+    let response: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
+    let tasks = response["tasks"].as_array().map_or(&[][..], Vec::as_slice);
+    let outputs_match = tasks.len() == job.tasks.len()
         && tasks
             .iter()
             .enumerate()
@@ -226,6 +226,6 @@
         not_run: verdict == "not-run",
         not_run_tasks,
         lost: verdict.is_empty(),
-        partial: verdict == "done" && !all_own,
+        partial: verdict == "done" && !outputs_match,
     }
 }
--- a/src/load/findings.rs
+++ b/src/load/load_stats.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        exchange::JobResult,
-        ideal::ideal_responses_us,
+        ideal_schedule::ideal_responses_us,
+        load_client::JobResult,
         probe::{StartRecord, ZonedStart},
         schedule::PlannedJob,
     },
@@ -16,22 +16,22 @@
 pub(crate) const SLOWDOWN_UNIT: f64 = 1_000.0;
 
 /// Largest value recorded: ten minutes in microseconds.
-const MAX_RECORDED: u64 = 600_000_000;
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// When things happened, in microseconds since 1970.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RunTimes {
+pub(crate) struct LoadTimes {
     /// The schedule's beginning.
-    pub(crate) began_us: u64,
+    pub(crate) started_us: u64,
     /// The operator's call that took the zone out was sent.
-    pub(crate) zone_out_us: Option<u64>,
+    pub(crate) evacuated_us: Option<u64>,
     /// The operator's call that brought it back was sent.
-    pub(crate) zone_in_us: Option<u64>,
+    pub(crate) restored_us: Option<u64>,
 }
 
 /// Counts and distributions of one run.
 #[derive(Debug)]
-pub(crate) struct Findings {
+pub(crate) struct LoadStats {
     pub(crate) jobs: u64,
     pub(crate) done: u64,
     pub(crate) done_in_time: u64,
@@ -54,35 +54,35 @@
 
 /// What a task's name leads back to.
 #[derive(Debug, Clone, Copy)]
-struct Origin {
+struct SubmittedTask {
     /// Its work counts: the job was done in time.
-    useful: bool,
+    done_in_time: bool,
     /// The client was told that it did not run.
-    said_not_run: bool,
+    reported_not_run: bool,
     run_ms: u32,
 }
 
-impl Findings {
+impl LoadStats {
     /// Judges a run.
     pub(crate) fn new(
         args: &LoadArgs,
-        times: RunTimes,
+        times: LoadTimes,
         plan: &[PlannedJob],
         results: &[JobResult],
         starts: &[ZonedStart],
     ) -> Result<Self, RunError> {
-        let mut findings = Self::empty().map_err(|error| RunError::Failed(error.to_string()))?;
+        let mut stats = Self::empty().map_err(|error| RunError::Failed(error.to_string()))?;
         let ideals_us = ideal_responses_us(plan, args.slots);
-        let mut origins = BTreeMap::new();
+        let mut submitted = BTreeMap::new();
         for result in results {
             let job = &plan[result.number];
-            findings.add_job(job, result, ideals_us[result.number]);
-            note_origins(&mut origins, job, result);
+            stats.record_job(job, result, ideals_us[result.number]);
+            record_submitted(&mut submitted, job, result);
         }
-        findings.add_starts(args, &origins, starts);
-        findings.add_overheads(plan, results, &ideals_us, starts);
-        findings.add_work(args, times, &origins, starts);
-        Ok(findings)
+        stats.count_starts(args, &submitted, starts);
+        stats.record_overheads(plan, results, &ideals_us, starts);
+        stats.compute_work_ratios(args, times, &submitted, starts);
+        Ok(stats)
     }
 
     fn empty() -> Result<Self, hdrhistogram::CreationError> {
@@ -108,7 +108,7 @@
         })
     }
 
-    fn add_job(&mut self, job: &PlannedJob, result: &JobResult, ideal_us: u64) {
+    fn record_job(&mut self, job: &PlannedJob, result: &JobResult, ideal_us: u64) {
         self.jobs += 1;
         let Some(last) = result.attempts.last() else {
             return;
@@ -131,25 +131,25 @@
             .saturating_record((slowdown * SLOWDOWN_UNIT) as u64);
     }
 
-    fn add_starts(
+    fn count_starts(
         &mut self,
         args: &LoadArgs,
-        origins: &BTreeMap<String, Origin>,
+        submitted: &BTreeMap<String, SubmittedTask>,
         starts: &[ZonedStart],
     ) {
         let mut seen: BTreeMap<&str, u64> = BTreeMap::new();
         for start in starts {
-            if origins.contains_key(&start.record.task) {
+            if submitted.contains_key(&start.record.task) {
                 *seen.entry(&start.record.task).or_default() += 1;
             }
         }
-        for (task, count) in seen {
-            let Some(origin) = origins.get(task) else {
+        for (name, count) in seen {
+            let Some(task) = submitted.get(name) else {
                 continue;
             };
             self.starts += count;
-            self.useless_starts += if origin.useful { count - 1 } else { count };
-            self.false_not_run += u64::from(origin.said_not_run);
+            self.useless_starts += if task.done_in_time { count - 1 } else { count };
+            self.false_not_run += u64::from(task.reported_not_run);
             if !args.repeatable {
                 self.double_starts += count - 1;
             }
@@ -158,7 +158,7 @@
 
     /// Overhead of jobs of one task that the ideal does not let wait: the response time less the
     /// time that the backend server itself took.
-    fn add_overheads(
+    fn record_overheads(
         &mut self,
         plan: &[PlannedJob],
         results: &[JobResult],
@@ -174,7 +174,7 @@
             let [task] = job.tasks.as_slice() else {
                 continue;
             };
-            let unqueued = ideals_us[result.number] == u64::from(task.run_ms) * 1_000;
+            let no_wait = ideals_us[result.number] == u64::from(task.run_ms) * 1_000;
             let Some(last) = result.attempts.last().filter(|last| last.is_done()) else {
                 continue;
             };
@@ -183,7 +183,7 @@
                 .and_then(|name| ran_us.get(name.as_str()).copied())
                 .filter(|ran_us| *ran_us > 0);
             if let Some(ran_us) = ran
-                && unqueued
+                && no_wait
             {
                 self.overhead_us
                     .saturating_record(result.response_us.saturating_sub(ran_us));
@@ -191,39 +191,39 @@
         }
     }
 
-    fn add_work(
+    fn compute_work_ratios(
         &mut self,
         args: &LoadArgs,
-        times: RunTimes,
-        origins: &BTreeMap<String, Origin>,
+        times: LoadTimes,
+        submitted: &BTreeMap<String, SubmittedTask>,
         starts: &[ZonedStart],
     ) {
-        let useful: Vec<&ZonedStart> = starts
+        let in_time: Vec<&ZonedStart> = starts
             .iter()
             .filter(|start| {
-                origins
+                submitted
                     .get(&start.record.task)
-                    .is_some_and(|origin| origin.useful)
+                    .is_some_and(|task| task.done_in_time)
             })
             .collect();
-        let ran_us = |record: &StartRecord| match (record.ran_us, origins.get(&record.task)) {
-            (0, Some(origin)) => u64::from(origin.run_ms) * 1_000,
+        let ran_us = |record: &StartRecord| match (record.ran_us, submitted.get(&record.task)) {
+            (0, Some(task)) => u64::from(task.run_ms) * 1_000,
             (ran_us, _) => ran_us,
         };
-        let work_us = |from_us: u64, to_us: u64, zone_left_out: Option<&str>| -> u64 {
-            useful
+        let work_us = |from_us: u64, to_us: u64, excluded_zone: Option<&str>| -> u64 {
+            in_time
                 .iter()
-                .filter(|start| zone_left_out != Some(start.availability_zone.as_str()))
+                .filter(|start| excluded_zone != Some(start.availability_zone.as_str()))
                 .map(|start| overlap_us(&start.record, ran_us(&start.record), from_us, to_us))
                 .sum()
         };
-        let from_us = times.began_us + args.warmup_ms * 1_000;
-        let to_us = times.began_us + args.duration_ms * 1_000;
+        let from_us = times.started_us + args.warmup_ms * 1_000;
+        let to_us = times.started_us + args.duration_ms * 1_000;
         let slots = args.slots as f64;
         self.goodput_ratio =
             work_us(from_us, to_us, None) as f64 / (slots * (to_us - from_us) as f64);
-        let (Some(out_us), Some(in_us), Some(zone)) =
-            (times.zone_out_us, times.zone_in_us, &args.zone_out)
+        let (Some(evacuated_us), Some(restored_us), Some(zone)) =
+            (times.evacuated_us, times.restored_us, &args.zone_out)
         else {
             return;
         };
@@ -233,42 +233,46 @@
             .filter(|backend| backend.availability_zone == *zone)
             .count();
         let remaining = slots * (1.0 - zone_backends as f64 / args.backends.len().max(1) as f64);
-        let while_out = work_us(out_us, in_us, Some(zone));
-        let after = work_us(in_us, to_us, None);
-        let could =
-            remaining * (in_us - out_us) as f64 + slots * to_us.saturating_sub(in_us) as f64;
-        self.zone_work_ratio = Some((while_out + after) as f64 / could);
+        let evacuated_work_us = work_us(evacuated_us, restored_us, Some(zone));
+        let restored_work_us = work_us(restored_us, to_us, None);
+        let capacity_us = remaining * (restored_us - evacuated_us) as f64
+            + slots * to_us.saturating_sub(restored_us) as f64;
+        self.zone_work_ratio = Some((evacuated_work_us + restored_work_us) as f64 / capacity_us);
         self.zone_out_last_start_ms = starts
             .iter()
             .filter(|start| start.availability_zone == *zone)
             .map(|start| start.record.at_unix_us)
-            .filter(|at_us| (out_us..in_us).contains(at_us))
+            .filter(|at_us| (evacuated_us..restored_us).contains(at_us))
             .max()
-            .map(|at_us| (at_us - out_us) as f64 / 1_000.0);
+            .map(|at_us| (at_us - evacuated_us) as f64 / 1_000.0);
     }
 }
 
 /// Bounds are given because a histogram that grows clamps what it has not grown to yet.
 fn new_histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_bounds(1, MAX_RECORDED, 3)
+    Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
 }
 
 fn is_in_time(job: &PlannedJob, result: &JobResult) -> bool {
     result.response_us <= job.deadline_ms * 1_000
 }
 
-fn note_origins(origins: &mut BTreeMap<String, Origin>, job: &PlannedJob, result: &JobResult) {
+fn record_submitted(
+    submitted: &mut BTreeMap<String, SubmittedTask>,
+    job: &PlannedJob,
+    result: &JobResult,
+) {
     for attempt in &result.attempts {
-        let useful = attempt.is_done() && is_in_time(job, result);
+        let done_in_time = attempt.is_done() && is_in_time(job, result);
         for (task, index) in job.tasks.iter().zip(0u16..) {
-            let said_not_run = attempt.not_run || attempt.not_run_tasks.contains(&index);
+            let reported_not_run = attempt.not_run || attempt.not_run_tasks.contains(&index);
             if let Some(name) = attempt.task_name(index) {
-                let origin = Origin {
-                    useful,
-                    said_not_run,
+                let task = SubmittedTask {
+                    done_in_time,
+                    reported_not_run,
                     run_ms: task.run_ms,
                 };
-                origins.insert(name, origin);
+                submitted.insert(name, task);
             }
         }
     }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! The load tool: sends jobs at a set rate, checks every answer and measures against the ideal.
 
-mod exchange;
-mod findings;
-mod ideal;
+mod ideal_schedule;
+mod load_client;
+mod load_stats;
 mod probe;
 mod report;
 mod run;
--- a/src/load/probe.rs
+++ b/src/load/probe.rs
@@ -15,7 +15,7 @@
 /// Position of the user time after the program's name in `/proc/PID/stat`; system time is next.
 const USER_TICKS_FIELD: usize = 11;
 /// Messages that a refused start costs: the start and the refusal.
-const MESSAGES_OF_REFUSAL: u64 = 2;
+const MESSAGES_PER_REFUSAL: u64 = 2;
 
 /// One start as the backend server's stand-in recorded it.
 #[derive(Debug, Clone, Deserialize)]
@@ -87,14 +87,14 @@
             .await
         {
             for line in reply.text().lines() {
-                add_line(&mut counters, line);
+                add_metric_line(&mut counters, line);
             }
         }
     }
     counters
 }
 
-fn add_line(counters: &mut Counters, line: &str) {
+fn add_metric_line(counters: &mut Counters, line: &str) {
     for (prefix, name) in COUNTERS {
         let reason = line
             .strip_prefix(prefix)
@@ -108,7 +108,7 @@
 }
 
 /// What was counted between two readings.
-pub(crate) fn counted_since(before: &Counters, after: &Counters) -> Counters {
+pub(crate) fn counter_increase(before: &Counters, after: &Counters) -> Counters {
     after
         .iter()
         .map(|(name, value)| {
@@ -125,7 +125,7 @@
         .iter()
         .map(|(name, value)| {
             if name.starts_with(REFUSAL_PREFIX) {
-                value * MESSAGES_OF_REFUSAL
+                value * MESSAGES_PER_REFUSAL
             } else if name.starts_with(WASTED) {
                 *value
             } else {
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        findings::{Findings, SLOWDOWN_UNIT},
+        load_stats::{LoadStats, SLOWDOWN_UNIT},
         probe::{Counters, wasted_messages},
     },
     hdrhistogram::Histogram,
@@ -25,12 +25,12 @@
     pub(crate) agent_cpu_us: u64,
 }
 
-fn slowdown_at(findings: &Findings, quantile: f64) -> f64 {
-    findings.slowdown.value_at_quantile(quantile) as f64 / SLOWDOWN_UNIT
+fn slowdown_at(stats: &LoadStats, quantile: f64) -> f64 {
+    stats.slowdown.value_at_quantile(quantile) as f64 / SLOWDOWN_UNIT
 }
 
-fn per_task(findings: &Findings, total: u64) -> f64 {
-    round(total as f64 / findings.tasks_done.max(1) as f64)
+fn per_task(stats: &LoadStats, total: u64) -> f64 {
+    round(total as f64 / stats.tasks_done.max(1) as f64)
 }
 
 fn round(value: f64) -> f64 {
@@ -42,59 +42,55 @@
 }
 
 /// Everything as JSON.
-pub(crate) fn json_report(findings: &Findings, costs: &Costs) -> Value {
+pub(crate) fn json_report(stats: &LoadStats, costs: &Costs) -> Value {
     json!({
-        "jobs": findings.jobs,
-        "done": findings.done,
-        "done_in_time": findings.done_in_time,
-        "tasks_done": findings.tasks_done,
-        "starts": findings.starts,
-        "useless_starts": findings.useless_starts,
-        "slowdown_p50": slowdown_at(findings, 0.5),
-        "slowdown_p90": slowdown_at(findings, 0.9),
-        "slowdown_p99": slowdown_at(findings, 0.99),
-        "slowdown_max": slowdown_at(findings, 1.0),
-        "dispatch_overhead_p50_us": findings.overhead_us.value_at_quantile(0.5),
-        "dispatch_overhead_p99_us": findings.overhead_us.value_at_quantile(0.99),
-        "response_p50_ms": ms_at(&findings.response_us, 0.5),
-        "response_p99_ms": ms_at(&findings.response_us, 0.99),
-        "refusal_p99_ms": ms_at(&findings.refusal_us, 0.99),
-        "goodput_ratio": round(findings.goodput_ratio),
-        "zone_work_ratio": findings.zone_work_ratio.map(round),
-        "zone_out_last_start_ms": findings.zone_out_last_start_ms,
-        "wasted_messages_per_task": per_task(findings, wasted_messages(&costs.counters)),
-        "double_starts": findings.double_starts,
-        "lost": findings.lost,
-        "partial": findings.partial,
-        "false_not_run": findings.false_not_run,
+        "jobs": stats.jobs,
+        "done": stats.done,
+        "done_in_time": stats.done_in_time,
+        "tasks_done": stats.tasks_done,
+        "starts": stats.starts,
+        "useless_starts": stats.useless_starts,
+        "slowdown_p50": slowdown_at(stats, 0.5),
+        "slowdown_p90": slowdown_at(stats, 0.9),
+        "slowdown_p99": slowdown_at(stats, 0.99),
+        "slowdown_max": slowdown_at(stats, 1.0),
+        "dispatch_overhead_p50_us": stats.overhead_us.value_at_quantile(0.5),
+        "dispatch_overhead_p99_us": stats.overhead_us.value_at_quantile(0.99),
+        "response_p50_ms": ms_at(&stats.response_us, 0.5),
+        "response_p99_ms": ms_at(&stats.response_us, 0.99),
+        "refusal_p99_ms": ms_at(&stats.refusal_us, 0.99),
+        "goodput_ratio": round(stats.goodput_ratio),
+        "zone_work_ratio": stats.zone_work_ratio.map(round),
+        "zone_out_last_start_ms": stats.zone_out_last_start_ms,
+        "wasted_messages_per_task": per_task(stats, wasted_messages(&costs.counters)),
+        "double_starts": stats.double_starts,
+        "lost": stats.lost,
+        "partial": stats.partial,
+        "false_not_run": stats.false_not_run,
         "cpu_us_per_task": {
-            "entry": per_task(findings, costs.entry_cpu_us),
-            "agent": per_task(findings, costs.agent_cpu_us),
+            "entry": per_task(stats, costs.entry_cpu_us),
+            "agent": per_task(stats, costs.agent_cpu_us),
         },
-        "verdicts": findings.verdicts,
+        "verdicts": stats.verdicts,
         "counters": costs.counters,
     })
 }
 
 /// A table and a histogram for people.
-pub(crate) fn print_table(findings: &Findings, costs: &Costs) {
-    for (name, value) in json_report(findings, costs)
-        .as_object()
-        .into_iter()
-        .flatten()
-    {
+pub(crate) fn print_table(stats: &LoadStats, costs: &Costs) {
+    for (name, value) in json_report(stats, costs).as_object().into_iter().flatten() {
         println!("{name:<28} {value}");
     }
     println!("slowdown (response time over the ideal), jobs:");
     let mut from = 0;
-    let total = findings.slowdown.len().max(1) as f64;
+    let total = stats.slowdown.len().max(1) as f64;
     for edge in HISTOGRAM_EDGES {
         let to = if edge.is_finite() {
             (edge * SLOWDOWN_UNIT) as u64
         } else {
             u64::MAX
         };
-        let count = findings.slowdown.count_between(from, to);
+        let count = stats.slowdown.count_between(from, to);
         let bar = "#".repeat((count as f64 / total * BAR_WIDTH).ceil() as usize);
         println!("  up to {edge:<5} {count:>7} {bar}");
         from = to.saturating_add(1);
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        exchange::{JobResult, LoadClient},
-        findings::{Findings, RunTimes},
-        probe::{counted_since, cpu_us, read_counters, read_starts},
+        load_client::{JobResult, LoadClient},
+        load_stats::{LoadStats, LoadTimes},
+        probe::{counter_increase, cpu_us, read_counters, read_starts},
         report::{Costs, json_report, print_table},
         schedule::{PlannedJob, plan},
         ticket_pool::TicketPool,
@@ -25,10 +25,10 @@
 };
 
 /// Time given to the last frames before the counters are read, in milliseconds.
-const SETTLE_MS: u64 = 200;
+const COUNTER_DELAY_MS: u64 = 200;
 
 /// Steps of the runtime's timer, with room, in milliseconds.
-const TIMER_STEP_MS: u64 = 2;
+const TIMER_RESOLUTION_MS: u64 = 2;
 
 /// Runs the load and prints the report; fails if an answer was wrong or missing.
 pub(crate) async fn run_load(args: LoadArgs) -> Result<(), RunError> {
@@ -42,35 +42,35 @@
         client.tickets.fetch(&client.http, *entry).await;
     }
     let before = read_costs(&client).await;
-    let began_us = unix_us();
+    let started_us = unix_us();
     // The first jobs are sent after the timer's step, too.
-    let began = Instant::now() + Duration::from_millis(TIMER_STEP_MS);
-    let zone = tokio::spawn(move_zone(Arc::clone(&client), began));
-    let results = send_all(&client, &plan, began).await?;
-    let (zone_out_us, zone_in_us) = zone
+    let started_at = Instant::now() + Duration::from_millis(TIMER_RESOLUTION_MS);
+    let zone = tokio::spawn(evacuate_and_restore_zone(Arc::clone(&client), started_at));
+    let results = send_all(&client, &plan, started_at).await?;
+    let (evacuated_us, restored_us) = zone
         .await
         .map_err(|error| RunError::Failed(error.to_string()))??;
-    tokio::time::sleep(Duration::from_millis(SETTLE_MS)).await;
+    tokio::time::sleep(Duration::from_millis(COUNTER_DELAY_MS)).await;
     let after = read_costs(&client).await;
     let costs = Costs {
-        counters: counted_since(&before.counters, &after.counters),
+        counters: counter_increase(&before.counters, &after.counters),
         entry_cpu_us: after.entry_cpu_us.saturating_sub(before.entry_cpu_us),
         agent_cpu_us: after.agent_cpu_us.saturating_sub(before.agent_cpu_us),
     };
     let starts = read_starts(&client.http, &client.args.backends).await?;
-    let times = RunTimes {
-        began_us,
-        zone_out_us,
-        zone_in_us,
+    let times = LoadTimes {
+        started_us,
+        evacuated_us,
+        restored_us,
     };
-    let findings = Findings::new(&client.args, times, &plan, &results, &starts)?;
+    let stats = LoadStats::new(&client.args, times, &plan, &results, &starts)?;
     if client.args.json {
-        println!("{}", json_report(&findings, &costs));
+        println!("{}", json_report(&stats, &costs));
     } else {
-        print_table(&findings, &costs);
+        print_table(&stats, &costs);
     }
-    if findings.partial > 0 {
-        let message = format!("{} answers were not whole", findings.partial);
+    if stats.partial > 0 {
+        let message = format!("{} answers were not whole", stats.partial);
         return Err(RunError::Failed(message));
     }
     Ok(())
@@ -87,12 +87,12 @@
 async fn send_all(
     client: &Arc<LoadClient>,
     plan: &Arc<[PlannedJob]>,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<Vec<JobResult>, RunError> {
-    let cancel_at = began + Duration::from_millis(client.args.duration_ms / 2);
+    let cancel_at = started_at + Duration::from_millis(client.args.duration_ms / 2);
     let mut running = JoinSet::new();
     for (number, job) in plan.iter().enumerate() {
-        let arrival = began + Duration::from_micros(job.at_us);
+        let arrival = started_at + Duration::from_micros(job.at_us);
         wait_for_arrival(arrival).await;
         let client = Arc::clone(client);
         let plan = Arc::clone(plan);
@@ -112,31 +112,31 @@
 /// Waits to the microsecond: the timer alone would be late by up to a millisecond, which would
 /// count as overhead.
 async fn wait_for_arrival(arrival: Instant) {
-    sleep_until(arrival - Duration::from_millis(TIMER_STEP_MS)).await;
+    sleep_until(arrival - Duration::from_millis(TIMER_RESOLUTION_MS)).await;
     while Instant::now() < arrival {
         yield_now().await;
     }
 }
 
 /// Takes the availability zone out and brings it back, if asked to; returns when.
-async fn move_zone(
+async fn evacuate_and_restore_zone(
     client: Arc<LoadClient>,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<(Option<u64>, Option<u64>), RunError> {
     let args = &client.args;
     let Some(zone) = &args.zone_out else {
         return Ok((None, None));
     };
     let operator = OperatorClient::new(args.entries.first().copied(), args.token.as_deref())?;
-    sleep_until(began + Duration::from_millis(args.zone_out_at_ms)).await;
-    let out_us = unix_us();
+    sleep_until(started_at + Duration::from_millis(args.zone_out_at_ms)).await;
+    let evacuated_us = unix_us();
     let path = format!("/v1/zones/{zone}/out");
     operator.json(Method::POST, &path, String::new()).await?;
-    sleep_until(began + Duration::from_millis(args.zone_in_at_ms)).await;
-    let in_us = unix_us();
+    sleep_until(started_at + Duration::from_millis(args.zone_in_at_ms)).await;
+    let restored_us = unix_us();
     let path = format!("/v1/zones/{zone}/in");
     operator.json(Method::POST, &path, String::new()).await?;
-    Ok((Some(out_us), Some(in_us)))
+    Ok((Some(evacuated_us), Some(restored_us)))
 }
 
 fn unix_us() -> u64 {
--- a/src/load/schedule.rs
+++ b/src/load/schedule.rs
@@ -11,15 +11,15 @@
 /// Share of each period that a burst lasts.
 const BURST_SHARE: f64 = 0.1;
 /// Shortest and longest time of an ordinary task, in milliseconds.
-const ORDINARY_MS: (f64, f64) = (50.0, 1_000.0);
+const ORDINARY_RUN_MS: (f64, f64) = (50.0, 1_000.0);
 /// Shortest and longest time of a long task, in milliseconds.
-const LONG_MS: (f64, f64) = (2_000.0, 4_000.0);
+const LONG_RUN_MS: (f64, f64) = (2_000.0, 4_000.0);
 /// Share of long tasks.
 const LONG_SHARE: f64 = 0.01;
 /// Tasks of a wide job.
 const WIDE_TASKS: usize = 200;
 /// Time of a wide job's task, in milliseconds.
-const WIDE_TASK_MS: u32 = 20;
+const WIDE_RUN_MS: u32 = 20;
 /// Memory that no worker has, in megabytes.
 const IMPOSSIBLE_MEMORY_MB: u32 = 100_000_000;
 
@@ -91,8 +91,8 @@
             .collect(),
         Shape::Wide => vec![
             PlannedTask {
-                run_ms: WIDE_TASK_MS,
-                declared_ms: WIDE_TASK_MS,
+                run_ms: WIDE_RUN_MS,
+                declared_ms: WIDE_RUN_MS,
             };
             WIDE_TASKS
         ],
@@ -121,9 +121,9 @@
 
 fn plan_task(rng: &mut ChaCha8Rng, declared_error: f64) -> PlannedTask {
     let run_ms = if rng.random_bool(LONG_SHARE) {
-        rng.random_range(LONG_MS.0..LONG_MS.1)
+        rng.random_range(LONG_RUN_MS.0..LONG_RUN_MS.1)
     } else {
-        let (shortest, longest) = ORDINARY_MS;
+        let (shortest, longest) = ORDINARY_RUN_MS;
         shortest * (longest / shortest).powf(rng.random())
     };
     let error = declared_error.powf(rng.random_range(-1.0..=1.0));
@@ -135,13 +135,13 @@
 
 /// Work of an average job, in seconds.
 fn mean_job_s(shape: Shape) -> f64 {
-    let (shortest, longest) = ORDINARY_MS;
+    let (shortest, longest) = ORDINARY_RUN_MS;
     let ordinary_ms = (longest - shortest) / (longest / shortest).ln();
-    let long_ms = f64::midpoint(LONG_MS.0, LONG_MS.1);
+    let long_ms = f64::midpoint(LONG_RUN_MS.0, LONG_RUN_MS.1);
     let task_ms = ordinary_ms * (1.0 - LONG_SHARE) + long_ms * LONG_SHARE;
     let mixed_tasks = 0.75 + 0.2 * 4.0 + 0.05 * 13.5;
     match shape {
         Shape::Mixed => mixed_tasks * task_ms / 1_000.0,
-        Shape::Wide => WIDE_TASKS as f64 * f64::from(WIDE_TASK_MS) / 1_000.0,
+        Shape::Wide => WIDE_TASKS as f64 * f64::from(WIDE_RUN_MS) / 1_000.0,
     }
 }
--- a/src/load/tests.rs
+++ b/src/load/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the schedule and the ideal that measurements are judged by.
 
 use super::{
-    ideal::ideal_responses_us,
+    ideal_schedule::ideal_responses_us,
     schedule::{PlannedJob, PlannedTask},
 };
 
@@ -27,18 +27,18 @@
             #[test]
             fn $name() {
                 let jobs = [$($job),*];
-                let wanted_us: Vec<u64> = vec![$($ideal_ms * 1_000),*];
-                assert_eq!(ideal_responses_us(&jobs, $slots), wanted_us);
+                let expected_us: Vec<u64> = vec![$($ideal_ms * 1_000),*];
+                assert_eq!(ideal_responses_us(&jobs, $slots), expected_us);
             }
         )+
     };
 }
 
 ideal_cases! {
-    an_idle_slot_costs_nothing: 2 slots [job(0, &[50]), job(10, &[70])] => [50, 70];
-    a_job_is_over_with_its_last_task: 2 slots [job(0, &[50, 70])] => [70];
-    a_full_slot_makes_wait: 1 slots [job(0, &[50]), job(10, &[70])] => [50, 110];
-    tasks_take_the_slot_that_is_free_first: 2 slots [job(0, &[100, 30, 30])] => [100];
-    arrivals_are_served_in_order: 1 slots [job(0, &[50]), job(1, &[500]), job(2, &[10])]
+    idle_slots_add_no_wait: 2 slots [job(0, &[50]), job(10, &[70])] => [50, 70];
+    response_time_is_that_of_the_last_task: 2 slots [job(0, &[50, 70])] => [70];
+    a_task_waits_for_a_busy_slot: 1 slots [job(0, &[50]), job(10, &[70])] => [50, 110];
+    a_task_uses_the_first_free_slot: 2 slots [job(0, &[100, 30, 30])] => [100];
+    jobs_are_served_in_arrival_order: 1 slots [job(0, &[50]), job(1, &[500]), job(2, &[10])]
         => [50, 549, 558];
 }
--- a/src/load/ticket_pool.rs
+++ b/src/load/ticket_pool.rs
@@ -11,7 +11,7 @@
 };
 
 /// Tickets asked for at a time.
-const BATCH: usize = 100;
+const BATCH_SIZE: usize = 100;
 
 /// Tickets fetched ahead and those that came with answers; the newest is used first.
 #[derive(Debug, Default)]
@@ -21,14 +21,14 @@
 
 impl TicketPool {
     /// Keeps a ticket for a later job.
-    pub(crate) fn put(&self, ticket: &str) {
+    pub(crate) fn add(&self, ticket: &str) {
         if !ticket.is_empty() {
             self.lock().push(ticket.to_owned());
         }
     }
 
     /// A ticket, fetched from the entry if none is in hand.
-    pub(crate) async fn take(&self, client: &HttpClient, entry: SocketAddr) -> Option<String> {
+    pub(crate) async fn acquire(&self, client: &HttpClient, entry: SocketAddr) -> Option<String> {
         if let Some(ticket) = self.lock().pop() {
             return Some(ticket);
         }
@@ -38,7 +38,7 @@
 
     /// Fetches a batch.
     pub(crate) async fn fetch(&self, client: &HttpClient, entry: SocketAddr) {
-        let path = format!("/v1/tickets?count={BATCH}");
+        let path = format!("/v1/tickets?count={BATCH_SIZE}");
         let Ok(reply) = client
             .send(Method::POST, entry, &path, &[], String::new())
             .await
@@ -47,7 +47,7 @@
         };
         let body: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
         for ticket in body["tickets"].as_array().into_iter().flatten() {
-            self.put(ticket.as_str().unwrap_or_default());
+            self.add(ticket.as_str().unwrap_or_default());
         }
     }
 
--- a/src/standin/agents.rs
+++ b/src/standin/agents.rs
@@ -23,7 +23,7 @@
 /// Port of each agent's HTTP server, at its own address.
 const HTTP_PORT: u16 = 7_401;
 /// Pause between the backend server's announcements to one agent, in milliseconds.
-const ANNOUNCE_MS: u64 = 1_000;
+const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
 /// Time over which the starts are spread for each agent, in microseconds, so that their seconds
 /// differ as they do on separate hosts.
 const START_SPREAD_US: u64 = 1_000_000;
@@ -31,9 +31,9 @@
 /// Runs the agents until SIGTERM.
 pub(crate) async fn run_agents(args: AgentsArgs) -> Result<(), RunError> {
     let mut agents = JoinSet::new();
-    let pause_us = START_SPREAD_US / u64::from(args.count.max(1));
+    let start_interval_us = START_SPREAD_US / u64::from(args.count.max(1));
     for index in 0..args.count {
-        let settings = settings_of(&args, index)?;
+        let settings = agent_settings(&args, index)?;
         if let Some(backend) = args.backend {
             tokio::spawn(announce_backend(
                 settings.http_listen,
@@ -46,7 +46,7 @@
             ));
         }
         agents.spawn(run_agent(settings));
-        sleep(Duration::from_micros(pause_us)).await;
+        sleep(Duration::from_micros(start_interval_us)).await;
     }
     while let Some(ended) = agents.join_next().await {
         ended.map_err(|error| RunError::Failed(error.to_string()))??;
@@ -55,7 +55,7 @@
 }
 
 /// The settings as their file would say them, so that the defaults are the shipped ones.
-fn settings_of(args: &AgentsArgs, index: u32) -> Result<AgentSettings, RunError> {
+fn agent_settings(args: &AgentsArgs, index: u32) -> Result<AgentSettings, RunError> {
     let ip = Ipv4Addr::from_bits(args.first_ip.to_bits() + index);
     let number = args.first_number + index;
     let zone = &args.zones[index as usize % args.zones.len()];
@@ -83,7 +83,7 @@
     };
     let client = HttpClient::new();
     let headers = [("content-type", "application/json")];
-    let mut ticks = interval(Duration::from_millis(ANNOUNCE_MS));
+    let mut ticks = interval(Duration::from_millis(ANNOUNCE_INTERVAL_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -28,7 +28,7 @@
 };
 
 /// Pause between announcements to the agent, in milliseconds.
-const ANNOUNCE_MS: u64 = 500;
+const ANNOUNCE_INTERVAL_MS: u64 = 500;
 
 /// Faults that can be switched on by posting them to `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug, Default)]
-struct BackendInner {
+struct BackendState {
     faults: BackendFaults,
     starts: Vec<StartRecord>,
     stops: BTreeMap<String, u32>,
@@ -68,7 +68,7 @@
 /// The stand-in's record and its slots.
 #[derive(Debug)]
 struct Backend {
-    inner: Mutex<BackendInner>,
+    state: Mutex<BackendState>,
     /// Tasks beyond the slots wait here: a backend server can't do more at a time than it can.
     slots: Semaphore,
 }
@@ -76,8 +76,8 @@
 type Shared<'a> = Data<&'a Arc<Backend>>;
 
 impl Backend {
-    fn lock(&self) -> MutexGuard<'_, BackendInner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BackendState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes a start and returns its position in the record.
@@ -85,19 +85,19 @@
         let at = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let mut inner = self.lock();
-        inner.starts.push(StartRecord {
+        let mut state = self.lock();
+        state.starts.push(StartRecord {
             task,
             at_unix_ms: at.as_millis(),
             at_unix_us: at.as_micros(),
             ran_us: 0,
         });
-        inner.starts.len() - 1
+        state.starts.len() - 1
     }
 
-    fn record_end(&self, position: usize, ran: Duration) {
-        if let Some(record) = self.lock().starts.get_mut(position) {
-            record.ran_us = ran.as_micros();
+    fn record_run_time(&self, index: usize, run_time: Duration) {
+        if let Some(record) = self.lock().starts.get_mut(index) {
+            record.ran_us = run_time.as_micros();
         }
     }
 }
@@ -105,7 +105,7 @@
 /// Runs the stand-in until SIGTERM.
 pub(crate) async fn run_backend(args: BackendArgs) -> Result<(), RunError> {
     let backend = Arc::new(Backend {
-        inner: Mutex::default(),
+        state: Mutex::default(),
         slots: Semaphore::new(usize::from(args.slots)),
     });
     let routes = Route::new()
@@ -124,7 +124,7 @@
 
 async fn announce(args: BackendArgs, backend: Arc<Backend>) {
     let client = HttpClient::new();
-    let mut ticks = interval(Duration::from_millis(ANNOUNCE_MS));
+    let mut ticks = interval(Duration::from_millis(ANNOUNCE_INTERVAL_MS));
     loop {
         ticks.tick().await;
         let faults = backend.lock().faults.clone();
@@ -167,7 +167,7 @@
     let Ok(_slot) = backend.slots.acquire().await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let record = backend.record_start(task);
     if faults.fail_all {
         return (StatusCode::INTERNAL_SERVER_ERROR, "told to fail").into_response();
@@ -179,7 +179,7 @@
     };
     let factor = u64::from(faults.slow_factor.max(1));
     sleep(Duration::from_millis(work_ms * factor)).await;
-    backend.record_end(record, began.elapsed());
+    backend.record_run_time(record, started_at.elapsed());
     output.to_owned().into_response()
 }
 
--- a/src/standin/jobs.rs
+++ b/src/standin/jobs.rs
@@ -28,21 +28,21 @@
 
 /// Tickets that answers brought, as a client in its steady state has them.
 #[derive(Debug, Default)]
-struct Tickets(Mutex<VecDeque<(Instant, String)>>);
+struct TicketQueue(Mutex<VecDeque<(Instant, String)>>);
 
-impl Tickets {
-    fn put(&self, reply: &HttpClientResponse) {
+impl TicketQueue {
+    fn push(&self, reply: &HttpClientResponse) {
         let ticket = reply.header(NEXT_TICKET_HEADER);
         if !ticket.is_empty() {
-            let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            held.push_back((Instant::now(), ticket.to_owned()));
+            let mut queue = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+            queue.push_back((Instant::now(), ticket.to_owned()));
         }
     }
 
-    fn take(&self) -> Option<String> {
-        let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        while let Some((got_at, ticket)) = held.pop_front() {
-            if got_at.elapsed().as_secs() < TICKET_MAX_AGE_S {
+    fn pop(&self) -> Option<String> {
+        let mut queue = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        while let Some((received_at, ticket)) = queue.pop_front() {
+            if received_at.elapsed().as_secs() < TICKET_MAX_AGE_S {
                 return Some(ticket);
             }
         }
@@ -53,9 +53,9 @@
 /// Sends the jobs, evenly spaced, and prints one JSON object about the answers.
 pub(crate) async fn run_jobs(args: JobsArgs) -> Result<(), RunError> {
     let failed = |error: &dyn ToString| RunError::Failed(error.to_string());
-    let (client, tickets) = (HttpClient::new(), Arc::new(Tickets::default()));
+    let (client, tickets) = (HttpClient::new(), Arc::new(TicketQueue::default()));
     let args = Arc::new(args);
-    let body: Arc<str> = body_of(&args).into();
+    let body: Arc<str> = job_body(&args).into();
     let mut ticks = interval(Duration::from_secs_f64(1.0 / args.jobs_per_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
     let ends_at = Instant::now() + Duration::from_millis(args.duration_ms);
@@ -64,7 +64,7 @@
         ticks.tick().await;
         let (client, tickets) = (client.clone(), Arc::clone(&tickets));
         let (args, body) = (Arc::clone(&args), Arc::clone(&body));
-        running.spawn(async move { send(&client, &tickets, &args, &body).await });
+        running.spawn(async move { send_job(&client, &tickets, &args, &body).await });
     }
     sleep_until(ends_at).await;
     let mut verdicts: BTreeMap<String, u64> = BTreeMap::new();
@@ -77,16 +77,16 @@
         }
         *verdicts.entry(verdict).or_default() += 1;
     }
-    let found = json!({
+    let report = json!({
         "response_p50_us": response_us.value_at_quantile(0.5),
         "response_p99_us": response_us.value_at_quantile(0.99),
         "verdicts": verdicts,
     });
-    println!("{found}");
+    println!("{report}");
     Ok(())
 }
 
-fn body_of(args: &JobsArgs) -> String {
+fn job_body(args: &JobsArgs) -> String {
     let tasks: Vec<Value> = (0..args.tasks)
         .map(|index| json!({ "input": format!("{} task {index}", args.work_ms) }))
         .collect();
@@ -94,13 +94,13 @@
 }
 
 /// One job: its verdict, and how long its answer took in microseconds.
-async fn send(
+async fn send_job(
     client: &HttpClient,
-    tickets: &Tickets,
+    tickets: &TicketQueue,
     args: &JobsArgs,
     body: &str,
 ) -> (String, u64) {
-    let Some(ticket) = ticket(client, tickets, args).await else {
+    let Some(ticket) = acquire_ticket(client, tickets, args).await else {
         return ("no-ticket".to_owned(), 0);
     };
     let sent_at = Instant::now();
@@ -117,13 +117,17 @@
     let Ok(reply) = reply else {
         return ("unreachable".to_owned(), 0);
     };
-    tickets.put(&reply);
+    tickets.push(&reply);
     let micros = u64::try_from(sent_at.elapsed().as_micros()).unwrap_or(u64::MAX);
     (reply.header(VERDICT_HEADER).to_owned(), micros)
 }
 
-async fn ticket(client: &HttpClient, tickets: &Tickets, args: &JobsArgs) -> Option<String> {
-    if let Some(ticket) = tickets.take() {
+async fn acquire_ticket(
+    client: &HttpClient,
+    tickets: &TicketQueue,
+    args: &JobsArgs,
+) -> Option<String> {
+    if let Some(ticket) = tickets.pop() {
         return Some(ticket);
     }
     let reply = client
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -43,32 +43,32 @@
 }
 
 #[derive(Debug, Default)]
-struct PlatformInner {
+struct PlatformState {
     store: PlatformStore,
     faults: PlatformFaults,
     calls: PlatformCalls,
 }
 
 #[derive(Debug, Default)]
-struct Platform(Mutex<PlatformInner>);
+struct Platform(Mutex<PlatformState>);
 
 type Shared<'a> = Data<&'a Arc<Platform>>;
 
 impl Platform {
-    fn lock(&self) -> MutexGuard<'_, PlatformInner> {
+    fn lock(&self) -> MutexGuard<'_, PlatformState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits as the faults say; `Err` if the platform is down.
-    async fn begin(&self, is_write: bool) -> Result<(), Response> {
+    async fn begin_call(&self, is_write: bool) -> Result<(), Response> {
         let faults = {
-            let mut inner = self.lock();
+            let mut state = self.lock();
             if is_write {
-                inner.calls.writes += 1;
+                state.calls.writes += 1;
             } else {
-                inner.calls.reads += 1;
+                state.calls.reads += 1;
             }
-            inner.faults.clone()
+            state.faults.clone()
         };
         sleep(Duration::from_millis(faults.slow_ms)).await;
         if faults.down {
@@ -78,18 +78,18 @@
     }
 
     /// Whether the reply of the write just made is to be lost.
-    fn loses_reply(&self) -> bool {
-        let mut inner = self.lock();
-        if inner.faults.lose_write_replies == 0 {
+    fn should_drop_response(&self) -> bool {
+        let mut state = self.lock();
+        if state.faults.lose_write_replies == 0 {
             return false;
         }
-        inner.faults.lose_write_replies -= 1;
+        state.faults.lose_write_replies -= 1;
         true
     }
 
     /// The reply to a write, or none for good if a fault swallows it.
     async fn finish_write(&self, response: Response) -> Response {
-        if self.loses_reply() {
+        if self.should_drop_response() {
             std::future::pending::<()>().await;
         }
         response
@@ -114,8 +114,8 @@
 
 #[handler]
 async fn get_row(platform: Shared<'_>, Path(key): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     match platform.lock().store.get(&key) {
         Some(row) => Json(row).into_response(),
@@ -125,8 +125,8 @@
 
 #[handler]
 async fn scan(platform: Shared<'_>, Path(prefix): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     let rows = platform.lock().store.scan(&prefix);
     Json(rows).into_response()
@@ -134,15 +134,15 @@
 
 #[handler]
 async fn transact(platform: Shared<'_>, Json(transaction): Json<Transaction>) -> Response {
-    if let Err(down) = platform.begin(true).await {
-        return down;
+    if let Err(response) = platform.begin_call(true).await {
+        return response;
     }
     let keys = transaction.puts.iter().map(|put| &put.key);
-    let is_roster =
+    let is_roster_write =
         !transaction.puts.is_empty() && keys.into_iter().all(|key| key.starts_with(ROSTER_PREFIX));
     let outcome = platform.lock().store.transact(transaction);
     let response = Json(outcome).into_response();
-    if is_roster {
+    if is_roster_write {
         return response;
     }
     platform.finish_write(response).await
@@ -150,8 +150,8 @@
 
 #[handler]
 async fn get_object(platform: Shared<'_>, Path(name): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     match platform.lock().store.object(&name) {
         Some(body) => body.clone().into_response(),
@@ -161,8 +161,8 @@
 
 #[handler]
 async fn put_object(platform: Shared<'_>, Path(name): Path<String>, body: String) -> Response {
-    if let Err(down) = platform.begin(true).await {
-        return down;
+    if let Err(response) = platform.begin_call(true).await {
+        return response;
     }
     platform.lock().store.put_object(name, body);
     platform.finish_write(StatusCode::OK.into_response()).await
--- a/src/standin/rows_model.rs
+++ b/src/standin/rows_model.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Changes that the feed remembers.
-const HISTORY_CHANGES: usize = 1_000;
+const MAX_HISTORY_CHANGES: usize = 1_000;
 
 /// Names a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,11 +22,11 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Applied {
+pub(crate) enum ApplyOutcome {
     /// All of it was applied.
-    Yes,
+    Committed,
     /// A row had another version than expected.
-    No,
+    Conflict,
 }
 
 /// What a feed says.
@@ -35,7 +35,7 @@
     /// Rows that changed, in order; a row that was removed has no value.
     Changes(Vec<(RowName, Option<StoredRow>)>),
     /// What changed since is no longer known.
-    Forgotten,
+    Truncated,
 }
 
 /// Rows, their versions and their newest changes.
@@ -44,7 +44,7 @@
     rows: BTreeMap<RowName, StoredRow>,
     version: u64,
     history: VecDeque<(u64, RowName)>,
-    forgotten: u64,
+    truncated_version: u64,
 }
 
 impl RowsModel {
@@ -59,13 +59,13 @@
         expected: &[(RowName, u64)],
         puts: Vec<(RowName, String)>,
         removed: Vec<RowName>,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         let version_of = |name: &RowName| self.rows.get(name).map_or(0, |row| row.version);
         if expected
             .iter()
             .any(|(name, version)| version_of(name) != *version)
         {
-            return Applied::No;
+            return ApplyOutcome::Conflict;
         }
         self.version += 1;
         for (name, value) in puts {
@@ -78,36 +78,36 @@
                 self.history.push_back((self.version, name));
             }
         }
-        while self.history.len() > HISTORY_CHANGES {
-            self.forget_oldest();
+        while self.history.len() > MAX_HISTORY_CHANGES {
+            self.drop_oldest_change();
         }
-        Applied::Yes
+        ApplyOutcome::Committed
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest_change(&mut self) {
         if let Some((version, _)) = self.history.pop_front() {
-            self.forgotten = version;
+            self.truncated_version = version;
         }
     }
 
     /// Forgets all changes; the rows stay.
-    pub(crate) fn forget_history(&mut self) {
+    pub(crate) fn clear_history(&mut self) {
         self.history.clear();
-        self.forgotten = self.version;
+        self.truncated_version = self.version;
     }
 
     /// The rows of one part of a table, by key.
-    pub(crate) fn rows(&self, table: &str, part: &str) -> Vec<(RowName, StoredRow)> {
-        let of_part = |name: &RowName| name.table == table && name.part == part;
-        let rows = self.rows.iter().filter(|(name, _)| of_part(name));
+    pub(crate) fn part_rows(&self, table: &str, part: &str) -> Vec<(RowName, StoredRow)> {
+        let is_in_part = |name: &RowName| name.table == table && name.part == part;
+        let rows = self.rows.iter().filter(|(name, _)| is_in_part(name));
         rows.map(|(name, row)| (name.clone(), row.clone()))
             .collect()
     }
 
     /// What changed in a table after a version.
     pub(crate) fn feed(&self, table: &str, after: u64) -> FeedPage {
-        if after < self.forgotten {
-            return FeedPage::Forgotten;
+        if after < self.truncated_version {
+            return FeedPage::Truncated;
         }
         let changed = self.history.iter();
         let changed = changed.filter(|(version, name)| *version > after && name.table == table);
--- a/src/standin/site_store.rs
+++ b/src/standin/site_store.rs
@@ -1,7 +1,7 @@
 //! The published table store over HTTP, with faults to switch on.
 
 use {
-    super::rows_model::{Applied, FeedPage, RowName, RowsModel, StoredRow},
+    super::rows_model::{ApplyOutcome, FeedPage, RowName, RowsModel, StoredRow},
     crate::{
         adapters::http::{HttpHandler, HttpRequest, HttpResponse, serve_http},
         cli::{PlatformArgs, RunError, stop_signal},
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct NameBody {
+struct TransactionRow {
     table: String,
     #[serde(default)]
     part: String,
@@ -58,13 +58,13 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct TransactionBody {
-    expect_rev: Vec<NameBody>,
-    puts: Vec<NameBody>,
-    remove: Vec<NameBody>,
+    expect_rev: Vec<TransactionRow>,
+    puts: Vec<TransactionRow>,
+    remove: Vec<TransactionRow>,
 }
 
 #[derive(Debug, Default)]
-struct SiteStore {
+struct SiteStoreServer {
     rows: Mutex<RowsModel>,
     faults: Mutex<StoreFaults>,
     changed: Notify,
@@ -76,13 +76,13 @@
         .await
         .map_err(|error| RunError::Listen(args.listen, error))?;
     let (_stop, stopped) = watch::channel(false);
-    let store = std::sync::Arc::new(SiteStore::default());
+    let store = std::sync::Arc::new(SiteStoreServer::default());
     tokio::spawn(serve_http(listener, store, stopped));
     stop_signal().await;
     Ok(())
 }
 
-fn name(body: &NameBody) -> RowName {
+fn row_name(body: &TransactionRow) -> RowName {
     RowName {
         table: body.table.clone(),
         part: body.part.clone(),
@@ -103,8 +103,8 @@
 }
 
 /// A value of the query, empty if absent.
-fn query<'a>(call: &'a HttpRequest, field: &str) -> &'a str {
-    let mut fields = call
+fn query_value<'a>(request: &'a HttpRequest, field: &str) -> &'a str {
+    let mut fields = request
         .query
         .split('&')
         .filter_map(|pair| pair.split_once('='));
@@ -114,12 +114,12 @@
 }
 
 /// The parts that a call reads or writes.
-fn parts(call: &HttpRequest) -> Vec<String> {
-    match call.path.as_str() {
-        "/v1/rows-get" => vec![query(call, "part").to_owned()],
+fn touched_parts(request: &HttpRequest) -> Vec<String> {
+    match request.path.as_str() {
+        "/v1/rows-get" => vec![query_value(request, "part").to_owned()],
         "/v1/rows-tx" => {
             // A body that can't be read is refused by the call itself.
-            let body: TransactionBody = serde_json::from_slice(&call.body).unwrap_or_default();
+            let body: TransactionBody = serde_json::from_slice(&request.body).unwrap_or_default();
             let rows = body.expect_rev.iter().chain(&body.puts).chain(&body.remove);
             rows.map(|row| row.part.clone()).collect()
         }
@@ -127,7 +127,7 @@
     }
 }
 
-impl SiteStore {
+impl SiteStoreServer {
     fn rows(&self) -> MutexGuard<'_, RowsModel> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -136,46 +136,46 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set_faults(&self, call: &HttpRequest) -> HttpResponse {
-        let Ok(faults) = serde_json::from_slice::<StoreFaults>(&call.body) else {
+    fn set_faults(&self, request: &HttpRequest) -> HttpResponse {
+        let Ok(faults) = serde_json::from_slice::<StoreFaults>(&request.body) else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         if faults.forget_history {
-            self.rows().forget_history();
+            self.rows().clear_history();
             self.changed.notify_waiters();
         }
         *self.faults() = faults;
         HttpResponse::empty(StatusCode::OK)
     }
 
-    fn transact(&self, call: &HttpRequest) -> HttpResponse {
-        let Ok(body) = serde_json::from_slice::<TransactionBody>(&call.body) else {
+    fn transact(&self, request: &HttpRequest) -> HttpResponse {
+        let Ok(body) = serde_json::from_slice::<TransactionBody>(&request.body) else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let expected: Vec<_> = body
             .expect_rev
             .iter()
-            .map(|row| (name(row), row.ver))
+            .map(|row| (row_name(row), row.ver))
             .collect();
         let puts = body
             .puts
             .iter()
-            .map(|row| (name(row), row.value.clone()))
+            .map(|row| (row_name(row), row.value.clone()))
             .collect();
-        let removed = body.remove.iter().map(name).collect();
+        let removed = body.remove.iter().map(row_name).collect();
         let mut rows = self.rows();
         let status = match rows.apply(&expected, puts, removed) {
-            Applied::Yes => StatusCode::OK,
-            Applied::No => StatusCode::PRECONDITION_FAILED,
+            ApplyOutcome::Committed => StatusCode::OK,
+            ApplyOutcome::Conflict => StatusCode::PRECONDITION_FAILED,
         };
         self.changed.notify_waiters();
         let body = json!({"ver": rows.version(), "now_ms": 0});
         HttpResponse::json(status, body.to_string())
     }
 
-    fn read(&self, call: &HttpRequest) -> HttpResponse {
+    fn read_part(&self, request: &HttpRequest) -> HttpResponse {
         let rows = self.rows();
-        let page = rows.rows(query(call, "table"), query(call, "part"));
+        let page = rows.part_rows(query_value(request, "table"), query_value(request, "part"));
         let page: Vec<Value> = page
             .iter()
             .map(|(name, row)| row_json(name, Some(row)))
@@ -185,29 +185,34 @@
     }
 
     /// The changes after a version, as soon as there is one or the wait is over.
-    async fn feed(&self, call: &HttpRequest) -> HttpResponse {
-        let number = |field| query(call, field).parse::<u64>().unwrap_or(0);
-        let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms")));
-        let waiting = async {
+    async fn feed(&self, request: &HttpRequest) -> HttpResponse {
+        let parse_number = |field| query_value(request, field).parse::<u64>().unwrap_or(0);
+        let (after, wait) = (
+            parse_number("after"),
+            Duration::from_millis(parse_number("wait_ms")),
+        );
+        let next_page = async {
             loop {
                 let changed = self.changed.notified();
-                if let Some(answer) = self.feed_page(query(call, "table"), after) {
-                    return answer;
+                if let Some(response) = self.feed_page(query_value(request, "table"), after) {
+                    return response;
                 }
                 changed.await;
             }
         };
-        let nothing = || {
+        let empty_page = || {
             let body = json!({"rows": [], "ver": self.rows().version(), "now_ms": 0});
             HttpResponse::json(StatusCode::OK, body.to_string())
         };
-        timeout(wait, waiting).await.unwrap_or_else(|_| nothing())
+        timeout(wait, next_page)
+            .await
+            .unwrap_or_else(|_| empty_page())
     }
 
     fn feed_page(&self, table: &str, after: u64) -> Option<HttpResponse> {
         let rows = self.rows();
         match rows.feed(table, after) {
-            FeedPage::Forgotten => Some(HttpResponse::empty(StatusCode::GONE)),
+            FeedPage::Truncated => Some(HttpResponse::empty(StatusCode::GONE)),
             FeedPage::Changes(page) if page.is_empty() => None,
             FeedPage::Changes(page) => {
                 let page = page.iter().map(|(name, row)| row_json(name, row.as_ref()));
@@ -219,44 +224,44 @@
     }
 
     /// Waits as the faults say; `Some` if the call gets no further.
-    async fn hindrance(&self, call: &HttpRequest) -> Option<HttpResponse> {
+    async fn apply_faults(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let faults = self.faults().clone();
         sleep(Duration::from_millis(faults.slow_ms)).await;
         if faults.silent {
             std::future::pending::<()>().await;
         }
-        let is_down = |part: &String| parts(call).contains(part);
+        let is_down = |part: &String| touched_parts(request).contains(part);
         (faults.down || faults.down_parts.iter().any(is_down))
             .then(|| HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE))
     }
 
-    fn loses_answer(&self) -> bool {
+    fn should_drop_response(&self) -> bool {
         let mut faults = self.faults();
-        let loses = faults.lose_answers > 0;
+        let should_drop = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
-        loses
+        should_drop
     }
 }
 
 #[async_trait]
-impl HttpHandler for SiteStore {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        if call.path == "/faults" {
-            return self.set_faults(&call);
+impl HttpHandler for SiteStoreServer {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        if request.path == "/faults" {
+            return self.set_faults(&request);
         }
-        if let Some(refusal) = self.hindrance(&call).await {
-            return refusal;
+        if let Some(rejection) = self.apply_faults(&request).await {
+            return rejection;
         }
-        match (&call.method, call.path.as_str()) {
+        match (&request.method, request.path.as_str()) {
             (&Method::POST, "/v1/rows-tx") => {
-                let answer = self.transact(&call);
-                if self.loses_answer() {
+                let response = self.transact(&request);
+                if self.should_drop_response() {
                     std::future::pending::<()>().await;
                 }
-                answer
+                response
             }
-            (&Method::GET, "/v1/rows-get") => self.read(&call),
-            (&Method::GET, "/v1/rows-feed") => self.feed(&call).await,
+            (&Method::GET, "/v1/rows-get") => self.read_part(&request),
+            (&Method::GET, "/v1/rows-feed") => self.feed(&request).await,
             _ => HttpResponse::empty(StatusCode::NOT_FOUND),
         }
     }
--- a/src/standin/site_worker.rs
+++ b/src/standin/site_worker.rs
@@ -36,9 +36,9 @@
 };
 
 /// Pause between looks at what has ended, in milliseconds.
-const TICK_MS: u64 = 5;
+const POLL_INTERVAL_MS: u64 = 5;
 /// Run time where the spec names none, in milliseconds.
-const USUAL_RUN_MS: u64 = 50;
+const DEFAULT_RUN_MS: u64 = 50;
 
 /// Faults that can be switched on by posting them to `/faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct OrderBody {
+struct WorkerCallBody {
     #[serde(default)]
     task: String,
     #[serde(default)]
@@ -78,7 +78,7 @@
     args: SiteWorkerArgs,
     model: Mutex<WorkerModel>,
     faults: Mutex<WorkerFaults>,
-    running: Mutex<BTreeMap<TaskId, u32>>,
+    logged_runs: Mutex<BTreeMap<TaskId, u32>>,
 }
 
 /// Runs the stand-in until SIGTERM.
@@ -101,19 +101,19 @@
         args,
         model: Mutex::new(model),
         faults: Mutex::default(),
-        running: Mutex::default(),
+        logged_runs: Mutex::default(),
     });
     let (_stop, stopped) = watch::channel(false);
     let handler: Arc<dyn HttpHandler> = Arc::<SiteWorker>::clone(&worker);
     tokio::spawn(serve_http(listener, handler, stopped));
-    tokio::spawn(Arc::clone(&worker).report());
-    tokio::spawn(Arc::clone(&worker).tick());
+    tokio::spawn(Arc::clone(&worker).send_heartbeats());
+    tokio::spawn(Arc::clone(&worker).poll_runs());
     stop_signal().await;
-    worker.leave().await;
+    worker.send_leave().await;
     Ok(())
 }
 
-fn read_task(name: &str) -> Option<TaskId> {
+fn parse_task(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     Some(TaskId {
         job: JobId::parse(parts.next()?)?,
@@ -136,43 +136,46 @@
     }
 
     /// Says which runs began and ended since it was last asked.
-    fn tell_changes(&self) {
+    fn log_run_changes(&self) {
         let mut model = self.model();
         let now = BootTimer.now();
         model.hangs = self.faults().hangs;
         model.advance(now);
-        let at_work = model.at_work();
-        let mut known = self.running.lock().unwrap_or_else(PoisonError::into_inner);
+        let active_runs = model.active_runs();
+        let mut logged = self
+            .logged_runs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let at_us = now.as_micros();
-        let tell = |event: &str, task: &TaskId, number: u32| {
+        let print_event = |event: &str, task: &TaskId, number: u32| {
             println!(
                 "{}",
                 json!({"at_us": at_us, "event": event, "task": task_name(*task), "run": number})
             );
         };
-        for (task, number) in known
+        for (task, number) in logged
             .iter()
-            .filter(|(task, run)| at_work.get(task) != Some(run))
+            .filter(|(task, run)| active_runs.get(task) != Some(run))
         {
-            tell("end", task, *number);
+            print_event("end", task, *number);
         }
-        for (task, number) in at_work
+        for (task, number) in active_runs
             .iter()
-            .filter(|(task, run)| known.get(task) != Some(run))
+            .filter(|(task, run)| logged.get(task) != Some(run))
         {
-            tell("begin", task, *number);
+            print_event("begin", task, *number);
         }
-        *known = at_work;
+        *logged = active_runs;
     }
 
-    async fn tick(self: Arc<Self>) {
+    async fn poll_runs(self: Arc<Self>) {
         loop {
-            sleep(Duration::from_millis(TICK_MS)).await;
-            self.tell_changes();
+            sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
+            self.log_run_changes();
         }
     }
 
-    async fn send(&self, path: String, body: String) {
+    async fn call_agent(&self, path: String, body: String) {
         let sent = HttpClient::new()
             .send(Method::POST, self.args.agent, &path, &[], body)
             .await;
@@ -182,16 +185,16 @@
     }
 
     /// Tells the agent of itself, again and again.
-    async fn report(self: Arc<Self>) {
+    async fn send_heartbeats(self: Arc<Self>) {
         loop {
-            let body = self.heartbeat();
+            let body = self.heartbeat_body();
             let path = format!("/v1/Instances.Heartbeat/{}", self.args.id);
-            self.send(path, body.to_string()).await;
+            self.call_agent(path, body.to_string()).await;
             sleep(Duration::from_millis(self.args.heartbeat_ms)).await;
         }
     }
 
-    fn heartbeat(&self) -> Value {
+    fn heartbeat_body(&self) -> Value {
         let draining = self.faults().draining;
         let mut model = self.model();
         model.draining = draining;
@@ -207,27 +210,27 @@
             "capacity": {"cpu": u32::from(self.args.slots) * 1_000, "mem_mb": 262_144, "gpu": 0},
             "labels": ["a", "r1"],
             "seq": model.reports,
-            "born": model.life.born_unix_ms,
+            "born": model.incarnation.born_unix_ms,
         })
     }
 
-    async fn leave(&self) {
+    async fn send_leave(&self) {
         let path = format!("/v1/Instances.Leave/{}", self.args.id);
-        self.send(path, "{}".to_owned()).await;
+        self.call_agent(path, "{}".to_owned()).await;
     }
 
-    fn start(&self, body: &OrderBody) -> HttpResponse {
-        let Some(task) = read_task(&body.task) else {
+    fn start(&self, body: &WorkerCallBody) -> HttpResponse {
+        let Some(task) = parse_task(&body.task) else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let mut words = body.spec.split(' ');
         let run_ms = words
             .next()
             .and_then(|word| word.parse().ok())
-            .unwrap_or(USUAL_RUN_MS);
+            .unwrap_or(DEFAULT_RUN_MS);
         let fails = words.next() == Some("fail")
             || rand::rng().random_range(0..100) < self.faults().fail_percent;
-        let how = if fails {
+        let outcome = if fails {
             RunOutcome::Failed
         } else {
             RunOutcome::Done
@@ -240,10 +243,10 @@
             lease_until_ms: body.deadline_ms.unwrap_or(0),
             token: body.fencing_token,
         };
-        let (answer, _) = self.model().start(BootTimer.now(), &call, run_ms, how);
-        self.tell_changes();
-        let reason = match answer {
-            StartResponse::Accepted => return self.answer(StatusCode::OK, None),
+        let (response, _) = self.model().start(BootTimer.now(), &call, run_ms, outcome);
+        self.log_run_changes();
+        let reason = match response {
+            StartResponse::Accepted => return self.response(StatusCode::OK, None),
             StartResponse::Fenced => "fence",
             StartResponse::NumberUsed => "old",
             StartResponse::Late => "late",
@@ -252,10 +255,10 @@
                 "other"
             }
         };
-        self.answer(StatusCode::CONFLICT, Some(reason))
+        self.response(StatusCode::CONFLICT, Some(reason))
     }
 
-    fn answer(&self, status: StatusCode, reason: Option<&str>) -> HttpResponse {
+    fn response(&self, status: StatusCode, reason: Option<&str>) -> HttpResponse {
         let mut body = json!({"clock_ms": self.model().clock_ms(BootTimer.now())});
         if let Some(reason) = reason {
             body["reason"] = json!(reason);
@@ -263,8 +266,8 @@
         HttpResponse::json(status, body.to_string())
     }
 
-    fn stop(&self, body: &OrderBody) -> HttpResponse {
-        let Some(task) = read_task(&body.task) else {
+    fn stop(&self, body: &WorkerCallBody) -> HttpResponse {
+        let Some(task) = parse_task(&body.task) else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
         let call = StopCall {
@@ -273,17 +276,17 @@
             number: body.run,
             token: body.fencing_token,
         };
-        let taken = self.model().stop(&call);
-        self.tell_changes();
-        if taken {
-            self.answer(StatusCode::OK, None)
+        let accepted = self.model().stop(&call);
+        self.log_run_changes();
+        if accepted {
+            self.response(StatusCode::OK, None)
         } else {
-            self.answer(StatusCode::CONFLICT, Some("fence"))
+            self.response(StatusCode::CONFLICT, Some("fence"))
         }
     }
 
     /// Answers with both lists, at once or as soon as something has ended.
-    async fn hold(&self, body: &OrderBody) -> HttpResponse {
+    async fn hold(&self, body: &WorkerCallBody) -> HttpResponse {
         let until = Instant::now() + Duration::from_millis(body.wait_ms);
         let call = HoldCall {
             sequence: 0,
@@ -294,19 +297,19 @@
             wait_ms: body.wait_ms,
         };
         loop {
-            self.tell_changes();
-            let answer = self.model().hold(BootTimer.now(), &call);
+            self.log_run_changes();
+            let response = self.model().hold(BootTimer.now(), &call);
             let HoldResponse::RunList {
                 clock_ms,
                 running,
                 ended,
                 ..
-            } = answer
+            } = response
             else {
-                return self.answer(StatusCode::CONFLICT, Some("fence"));
+                return self.response(StatusCode::CONFLICT, Some("fence"));
             };
             if ended.is_empty() && Instant::now() < until {
-                sleep(Duration::from_millis(TICK_MS)).await;
+                sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
                 continue;
             }
             let running = running
@@ -321,21 +324,21 @@
                     ""
                 ])
             });
-            let lists = json!({
+            let run_list = json!({
                 "clock_ms": clock_ms,
-                "born": self.model().life.born_unix_ms,
+                "born": self.model().incarnation.born_unix_ms,
                 "running": running.collect::<Vec<_>>(),
                 "finished": finished.collect::<Vec<_>>(),
             });
-            return HttpResponse::json(StatusCode::OK, lists.to_string());
+            return HttpResponse::json(StatusCode::OK, run_list.to_string());
         }
     }
 
-    async fn carry_out(&self, call: &HttpRequest) -> HttpResponse {
-        let Ok(body) = serde_json::from_slice::<OrderBody>(&call.body) else {
+    async fn execute(&self, request: &HttpRequest) -> HttpResponse {
+        let Ok(body) = serde_json::from_slice::<WorkerCallBody>(&request.body) else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
-        match call.path.as_str() {
+        match request.path.as_str() {
             "/v1/run-start" => self.start(&body),
             "/v1/run-stop" => self.stop(&body),
             "/v1/hold" => self.hold(&body).await,
@@ -346,9 +349,9 @@
 
 #[async_trait]
 impl HttpHandler for SiteWorker {
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
-        if call.path == "/faults" {
-            let Ok(faults) = serde_json::from_slice(&call.body) else {
+    async fn handle(&self, request: HttpRequest) -> HttpResponse {
+        if request.path == "/faults" {
+            let Ok(faults) = serde_json::from_slice(&request.body) else {
                 return HttpResponse::empty(StatusCode::BAD_REQUEST);
             };
             *self.faults() = faults;
@@ -362,9 +365,9 @@
             // Carried out later by a task of its own: the caller will have given up.
             let delay_ms = rand::rng().random_range(1_000..4_000);
             sleep(Duration::from_millis(delay_ms)).await;
-            let _late = self.carry_out(&call).await;
+            let _late = self.execute(&request).await;
             std::future::pending::<()>().await;
         }
-        self.carry_out(&call).await
+        self.execute(&request).await
     }
 }
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -13,20 +13,20 @@
 };
 
 /// Longest lease that a worker grants, in milliseconds.
-const LONGEST_LEASE_MS: u64 = 1_000;
+const MAX_LEASE_MS: u64 = 1_000;
 /// A run at the worker.
 #[derive(Debug, Clone, Copy)]
-struct RunAtWork {
+struct ActiveRun {
     number: u32,
-    done_at: Instant,
-    how: RunOutcome,
+    finishes_at: Instant,
+    outcome: RunOutcome,
 }
 
 /// One worker; a crash begins another life.
 #[derive(Debug)]
 pub(crate) struct WorkerModel {
     /// The life that this is.
-    pub(crate) life: WorkerIncarnation,
+    pub(crate) incarnation: WorkerIncarnation,
     /// It says that it is about to end.
     pub(crate) draining: bool,
     /// Reports made.
@@ -34,14 +34,14 @@
     /// Tasks stand still: nothing ends by itself.
     pub(crate) hangs: bool,
     /// Tasks that it runs at a time.
-    room: usize,
-    born_at: Instant,
+    slots: usize,
+    started_at: Instant,
     /// Its clock runs so many thousandths slow.
     slow_permille: u64,
-    runs: BTreeMap<TaskId, RunAtWork>,
-    used: BTreeMap<TaskId, u32>,
+    runs: BTreeMap<TaskId, ActiveRun>,
+    used_numbers: BTreeMap<TaskId, u32>,
     ended: Vec<ListedEnd>,
-    last_end: u64,
+    last_end_sequence: u64,
     token: u64,
     lease_until_ms: u64,
 }
@@ -53,20 +53,20 @@
         id: String,
         born_unix_ms: u64,
         slow_permille: u64,
-        room: usize,
+        slots: usize,
     ) -> Self {
         Self {
-            room,
-            life: WorkerIncarnation { id, born_unix_ms },
+            slots,
+            incarnation: WorkerIncarnation { id, born_unix_ms },
             draining: false,
             reports: 0,
             hangs: false,
-            born_at: now,
+            started_at: now,
             slow_permille,
             runs: BTreeMap::new(),
-            used: BTreeMap::new(),
+            used_numbers: BTreeMap::new(),
             ended: Vec::new(),
-            last_end: 0,
+            last_end_sequence: 0,
             token: 0,
             lease_until_ms: 0,
         }
@@ -74,11 +74,11 @@
 
     /// Its clock, in milliseconds.
     pub(crate) fn clock_ms(&self, now: Instant) -> u64 {
-        now.millis_since(self.born_at) * (1_000 - self.slow_permille) / 1_000
+        now.millis_since(self.started_at) * (1_000 - self.slow_permille) / 1_000
     }
 
     /// What is at work, with the numbers of the runs.
-    pub(crate) fn at_work(&self) -> BTreeMap<TaskId, u32> {
+    pub(crate) fn active_runs(&self) -> BTreeMap<TaskId, u32> {
         self.runs
             .iter()
             .map(|(task, run)| (*task, run.number))
@@ -87,22 +87,26 @@
 
     /// Ends what is due by now, and everything when the lease is over; the tasks that are done.
     pub(crate) fn advance(&mut self, now: Instant) -> Vec<TaskId> {
-        let lapsed = self.clock_ms(now) >= self.lease_until_ms;
+        let lease_expired = self.clock_ms(now) >= self.lease_until_ms;
         let due: Vec<(TaskId, u32, RunOutcome)> = self
             .runs
             .iter()
-            .filter(|(_, run)| lapsed || (now >= run.done_at && !self.hangs))
+            .filter(|(_, run)| lease_expired || (now >= run.finishes_at && !self.hangs))
             .map(|(task, run)| {
                 (
                     *task,
                     run.number,
-                    if lapsed { RunOutcome::Lost } else { run.how },
+                    if lease_expired {
+                        RunOutcome::Lost
+                    } else {
+                        run.outcome
+                    },
                 )
             })
             .collect();
         let mut done = Vec::new();
         for (task, number, end) in due {
-            self.end(task, number, end);
+            self.finish_run(task, number, end);
             if end == RunOutcome::Done {
                 done.push(task);
             }
@@ -110,13 +114,13 @@
         done
     }
 
-    fn end(&mut self, task: TaskId, number: u32, end: RunOutcome) {
+    fn finish_run(&mut self, task: TaskId, number: u32, end: RunOutcome) {
         self.runs.remove(&task);
-        let used = self.used.entry(task).or_default();
+        let used = self.used_numbers.entry(task).or_default();
         *used = (*used).max(number);
-        self.last_end += 1;
+        self.last_end_sequence += 1;
         self.ended.push(ListedEnd {
-            sequence: self.last_end,
+            sequence: self.last_end_sequence,
             task,
             number,
             end,
@@ -131,9 +135,9 @@
         false
     }
 
-    fn extend(&mut self, now: Instant, until_ms: u64) {
-        let longest = self.clock_ms(now) + LONGEST_LEASE_MS;
-        self.lease_until_ms = self.lease_until_ms.max(until_ms.min(longest));
+    fn extend_lease(&mut self, now: Instant, until_ms: u64) {
+        let latest_ms = self.clock_ms(now) + MAX_LEASE_MS;
+        self.lease_until_ms = self.lease_until_ms.max(until_ms.min(latest_ms));
     }
 
     /// Carries a start out; `begun` tells whether the task is at work on its account.
@@ -142,7 +146,7 @@
         now: Instant,
         call: &StartCall,
         run_ms: u64,
-        how: RunOutcome,
+        outcome: RunOutcome,
     ) -> (StartResponse, bool) {
         if self.is_fenced(call.token) {
             return (StartResponse::Fenced, false);
@@ -157,21 +161,21 @@
         if call.lease_until_ms <= self.clock_ms(now) {
             return (StartResponse::Late, false);
         }
-        self.extend(now, call.lease_until_ms);
+        self.extend_lease(now, call.lease_until_ms);
         let used = self
-            .used
+            .used_numbers
             .get(&call.task)
             .is_some_and(|used| *used >= call.number);
         if used || self.runs.contains_key(&call.task) {
             return (StartResponse::NumberUsed, false);
         }
-        if self.runs.len() >= self.room {
+        if self.runs.len() >= self.slots {
             return (StartResponse::NoRoom, false);
         }
-        let run = RunAtWork {
+        let run = ActiveRun {
             number: call.number,
-            done_at: now.plus_ms(run_ms),
-            how,
+            finishes_at: now.plus_ms(run_ms),
+            outcome,
         };
         self.runs.insert(call.task, run);
         (StartResponse::Accepted, true)
@@ -182,14 +186,14 @@
         if self.is_fenced(call.token) {
             return false;
         }
-        let runs = self
+        let is_running = self
             .runs
             .get(&call.task)
             .is_some_and(|run| run.number == call.number);
-        if runs {
-            self.end(call.task, call.number, RunOutcome::Stopped);
+        if is_running {
+            self.finish_run(call.task, call.number, RunOutcome::Stopped);
         }
-        let used = self.used.entry(call.task).or_default();
+        let used = self.used_numbers.entry(call.task).or_default();
         *used = (*used).max(call.number);
         true
     }
@@ -200,11 +204,11 @@
             return HoldResponse::Fenced;
         }
         if let Some(until_ms) = call.lease_until_ms {
-            self.extend(now, until_ms);
+            self.extend_lease(now, until_ms);
         }
         self.ended.retain(|end| end.sequence > call.last_seen_end);
         HoldResponse::RunList {
-            born_unix_ms: Some(self.life.born_unix_ms),
+            born_unix_ms: Some(self.incarnation.born_unix_ms),
             clock_ms: self.clock_ms(now),
             running: self
                 .runs
