--- a/src/load/ideal_schedule.rs
+++ b/src/load/ideal_schedule.rs
@@ -1,13 +1,13 @@
-//! The ideal: the same schedule through one perfect queue over the same slots.
+//! Ideal response times: the same jobs in one FIFO queue over the same slots, without overhead.
 
 use {
     super::schedule::PlannedJob,
     std::{cmp::Reverse, collections::BinaryHeap},
 };
 
-/// Response time of each job when every task starts at once on the slot that is free first.
+/// Response time of each job if tasks start in order of arrival, each on the first free slot.
 ///
-/// Tasks start in the order in which they arrive, without any cost for messages.
+/// Jobs that no worker has the memory for get a response time of zero.
 pub(crate) fn ideal_responses_us(jobs: &[PlannedJob], slots: usize) -> Vec<u64> {
     let mut free_at_us: BinaryHeap<Reverse<u64>> = (0..slots).map(|_| Reverse(0)).collect();
     jobs.iter()
--- a/src/load/load_client.rs
+++ b/src/load/load_client.rs
@@ -1,4 +1,4 @@
-//! One job from submission to its last answer.
+//! Client that submits jobs and classifies the responses.
 
 use {
     super::{schedule::PlannedJob, ticket_pool::TicketPool},
@@ -16,37 +16,37 @@
     tokio::time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// Most times that a blindly retrying client sends the same job.
+/// Attempts per job of a client that retries regardless of the verdict.
 const MAX_BLIND_ATTEMPTS: usize = 2;
-/// Pause of a blindly retrying client, in milliseconds.
+/// Pause before a blind retry.
 const BLIND_RETRY_INTERVAL_MS: u64 = 50;
-/// Time beyond the deadline after which a missing answer counts as lost, in milliseconds.
+/// Time after the deadline until a missing response counts as lost.
 const RESPONSE_GRACE_MS: u64 = 3_000;
 
-/// What the client saw of one try.
+/// Result of one submission of a job, as seen by the client.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// The ticket that it was sent under.
+    /// Ticket of the submission.
     pub(crate) ticket: Option<Ticket>,
-    /// Verdict and reason, or what went wrong on the way.
+    /// Verdict and reason, or the transport error.
     pub(crate) verdict: String,
-    /// The job's verdict says that nothing ran.
+    /// Whether the job's verdict is "not run".
     pub(crate) not_run: bool,
-    /// Tasks whose own verdict is "not run", in an answer that lists them.
+    /// Indexes of the tasks whose own verdict is "not run".
     pub(crate) not_run_tasks: Vec<u16>,
-    /// No answer at all.
+    /// Whether no verdict was received.
     pub(crate) lost: bool,
-    /// Said to be done, but an output is missing or another job's.
+    /// Whether the verdict is "done" but an output is missing or wrong.
     pub(crate) partial: bool,
 }
 
 impl Attempt {
-    /// Whether every task ran and the answer is whole.
+    /// Whether the job's verdict is "done".
     pub(crate) fn is_done(&self) -> bool {
         self.verdict == "done"
     }
 
-    /// Name of one of the job's tasks, as backend servers record it.
+    /// Name under which backend servers record a task of this job.
     pub(crate) fn task_name(&self, index: u16) -> Option<String> {
         self.ticket.map(|ticket| {
             TaskRef {
@@ -58,14 +58,14 @@
     }
 }
 
-/// A job's tries and the time from its planned arrival to the last answer.
+/// Attempts and response time of a job.
 #[derive(Debug)]
 pub(crate) struct JobResult {
-    /// Position in the schedule.
+    /// Index in the schedule.
     pub(crate) number: usize,
-    /// Every try, the last one last.
+    /// Attempts in the order sent.
     pub(crate) attempts: Vec<Attempt>,
-    /// From the planned arrival to the last answer.
+    /// Time from the planned arrival to the last response.
     pub(crate) response_us: u64,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl LoadClient {
-    /// Sends a job and waits for its answer; a blindly retrying client sends it again.
+    /// Sends a job and waits for its response; retries if blind retries are enabled.
     pub(crate) async fn run_job(
         &self,
         number: usize,
@@ -141,7 +141,7 @@
                 () = sleep_until(cancel_at) => {}
             }
             let path = format!("/v1/jobs/{ticket}");
-            // The answer to the submission says how the job ended.
+            // The response to the submission carries the job's outcome.
             let _ = self
                 .http
                 .send(Method::DELETE, entry, &path, &[], String::new())
--- a/src/load/load_stats.rs
+++ b/src/load/load_stats.rs
@@ -1,4 +1,4 @@
-//! What the answers and the backend servers' records say together.
+//! Statistics computed from the responses and the starts recorded by backend servers.
 
 use {
     super::{
@@ -12,24 +12,24 @@
     std::collections::BTreeMap,
 };
 
-/// Slowdowns are recorded as integers, so many to one.
+/// Fixed-point factor for slowdowns in the integer histogram.
 pub(crate) const SLOWDOWN_UNIT: f64 = 1_000.0;
 
-/// Largest value recorded: ten minutes in microseconds.
+/// Upper bound of the histograms.
 const MAX_RECORDED_US: u64 = 600_000_000;
 
-/// When things happened, in microseconds since 1970.
+/// Unix timestamps of the load run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LoadTimes {
-    /// The schedule's beginning.
+    /// Start of the schedule.
     pub(crate) started_us: u64,
-    /// The operator's call that took the zone out was sent.
+    /// When the operator call that evacuates the zone was sent.
     pub(crate) evacuated_us: Option<u64>,
-    /// The operator's call that brought it back was sent.
+    /// When the operator call that restores the zone was sent.
     pub(crate) restored_us: Option<u64>,
 }
 
-/// Counts and distributions of one run.
+/// Counts and distributions of one load run.
 #[derive(Debug)]
 pub(crate) struct LoadStats {
     pub(crate) jobs: u64,
@@ -52,18 +52,18 @@
     pub(crate) zone_out_last_start_ms: Option<f64>,
 }
 
-/// What a task's name leads back to.
+/// Client's view of a submitted task.
 #[derive(Debug, Clone, Copy)]
 struct SubmittedTask {
-    /// Its work counts: the job was done in time.
+    /// Whether its job was done before the deadline.
     done_in_time: bool,
-    /// The client was told that it did not run.
+    /// Whether the response said that the task did not run.
     reported_not_run: bool,
     run_ms: u32,
 }
 
 impl LoadStats {
-    /// Judges a run.
+    /// Computes the statistics of a load run.
     pub(crate) fn new(
         args: &LoadArgs,
         times: LoadTimes,
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Overhead of jobs of one task that the ideal does not let wait: the response time less the
-    /// time that the backend server itself took.
+    /// Records the overhead of single-task jobs that don't wait in the ideal schedule: response
+    /// time minus the run time on the backend server.
     fn record_overheads(
         &mut self,
         plan: &[PlannedJob],
@@ -248,7 +248,8 @@
     }
 }
 
-/// Bounds are given because a histogram that grows clamps what it has not grown to yet.
+/// Sets explicit bounds: `saturating_record` clamps values to the current size of an auto-resizing
+/// histogram.
 fn new_histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
     Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
 }
@@ -278,7 +279,7 @@
     }
 }
 
-/// How much of a run lies within a window.
+/// Part of a run that lies within a time window.
 fn overlap_us(record: &StartRecord, ran_us: u64, from_us: u64, to_us: u64) -> u64 {
     let begin = record.at_unix_us.max(from_us);
     let end = (record.at_unix_us + ran_us).min(to_us);
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! The load tool: sends jobs at a set rate, checks every answer and measures against the ideal.
+//! Load generator: sends jobs at a given rate, checks the responses and compares response times
+//! with an ideal schedule.
 
 mod ideal_schedule;
 mod load_client;
--- a/src/load/probe.rs
+++ b/src/load/probe.rs
@@ -1,4 +1,4 @@
-//! What the load tool reads from the deployment: starts, counters, processor time.
+//! Reads recorded starts, metrics and CPU time from the deployment.
 
 use {
     crate::{
@@ -10,35 +10,35 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Length of one tick of `/proc/PID/stat`, in microseconds: Linux counts 100 a second.
+/// Clock tick of `/proc/PID/stat`: `USER_HZ` is 100 on Linux.
 const CPU_TICK_US: u64 = 10_000;
-/// Position of the user time after the program's name in `/proc/PID/stat`; system time is next.
+/// Index of `utime` after the command name in `/proc/PID/stat`; `stime` follows it.
 const USER_TICKS_FIELD: usize = 11;
-/// Messages that a refused start costs: the start and the refusal.
+/// Messages per rejected start: the start and the rejection.
 const MESSAGES_PER_REFUSAL: u64 = 2;
 
-/// One start as the backend server's stand-in recorded it.
+/// A task start recorded by a backend server stand-in.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct StartRecord {
-    /// The task's name.
+    /// Task name.
     pub(crate) task: String,
-    /// Microseconds since 1970.
+    /// Start time as a Unix timestamp in microseconds.
     pub(crate) at_unix_us: u64,
-    /// How long it ran; zero if it has not ended.
+    /// Run time; zero if the task has not finished.
     #[serde(default)]
     pub(crate) ran_us: u64,
 }
 
-/// A start with its place.
+/// A recorded start and the zone of its backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct ZonedStart {
-    /// The backend server's availability zone.
+    /// Availability zone of the backend server.
     pub(crate) availability_zone: String,
-    /// The start.
+    /// The recorded start.
     pub(crate) record: StartRecord,
 }
 
-/// All starts that the backend servers have recorded.
+/// Reads the starts recorded by all reachable backend servers.
 pub(crate) async fn read_starts(
     client: &HttpClient,
     backends: &[ZonedBackend],
@@ -49,7 +49,7 @@
             .send(Method::GET, backend.addr, "/starts", &[], String::new())
             .await
         else {
-            // A backend server that was killed for the run has no record to read.
+            // The run may have killed this backend server.
             continue;
         };
         let records: Vec<StartRecord> = serde_json::from_slice(&reply.body)
@@ -62,7 +62,7 @@
     Ok(starts)
 }
 
-/// Counters of interest, in Prometheus's text format, with the names they are reported under.
+/// Prefixes of the Prometheus counters to read, with the names used in the report.
 const COUNTERS: [(&str, &str); 5] = [
     ("rattanslip_refusals_total{", "refusal"),
     ("rattanslip_wasted_messages_total{", WASTED),
@@ -70,15 +70,15 @@
     ("rattanslip_ejections_total{", "ejection"),
     ("rattanslip_hedges_total{", "hedge"),
 ];
-/// Name of the counter of wasted messages.
+/// Report name of the counter of wasted messages.
 const WASTED: &str = "wasted";
-/// The counter of starts refused by runners.
+/// Prefix of the report names of starts rejected by runners.
 const REFUSAL_PREFIX: &str = "refusal ";
 
-/// Values of the agents' counters since their beginning, by name and reason.
+/// Counter values summed over the agents, by name and reason.
 pub(crate) type Counters = BTreeMap<String, u64>;
 
-/// Reads the agents' counters and adds them up.
+/// Reads the counters of all reachable agents and sums them.
 pub(crate) async fn read_counters(client: &HttpClient, agents: &[SocketAddr]) -> Counters {
     let mut counters = Counters::new();
     for agent in agents {
@@ -107,7 +107,7 @@
     }
 }
 
-/// What was counted between two readings.
+/// Increase of each counter between two readings, without those that did not change.
 pub(crate) fn counter_increase(before: &Counters, after: &Counters) -> Counters {
     after
         .iter()
@@ -119,7 +119,7 @@
         .collect()
 }
 
-/// Messages between homes and runners that served no start.
+/// Number of messages between homes and runners that did not lead to a start.
 pub(crate) fn wasted_messages(counters: &Counters) -> u64 {
     counters
         .iter()
@@ -135,7 +135,7 @@
         .sum()
 }
 
-/// Processor time of some processes so far, in microseconds; those that are gone count as zero.
+/// Total CPU time of the processes; exited processes count as zero.
 pub(crate) fn cpu_us(pids: &[u32]) -> u64 {
     pids.iter().filter_map(|pid| process_cpu_us(*pid)).sum()
 }
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What the load tool prints.
+//! Report of a load run as JSON or as a table.
 
 use {
     super::{
@@ -9,19 +9,19 @@
     serde_json::{Value, json},
 };
 
-/// Upper ends of the printed histogram's rows, as slowdowns.
+/// Upper bounds of the slowdown histogram's rows.
 const HISTOGRAM_EDGES: [f64; 9] = [1.02, 1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 4.0, f64::INFINITY];
-/// Width of the printed histogram's longest bar.
+/// Width in characters of a bar for all jobs.
 const BAR_WIDTH: f64 = 50.0;
 
-/// What the run cost besides time.
+/// Message counters and CPU time used by a load run.
 #[derive(Debug)]
 pub(crate) struct Costs {
     /// The agents' counters.
     pub(crate) counters: Counters,
-    /// Processor time of the entries.
+    /// CPU time of the entries.
     pub(crate) entry_cpu_us: u64,
-    /// Processor time of the agents.
+    /// CPU time of the agents.
     pub(crate) agent_cpu_us: u64,
 }
 
@@ -41,7 +41,7 @@
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// Everything as JSON.
+/// The full report as JSON.
 pub(crate) fn json_report(stats: &LoadStats, costs: &Costs) -> Value {
     json!({
         "jobs": stats.jobs,
@@ -76,7 +76,7 @@
     })
 }
 
-/// A table and a histogram for people.
+/// Prints the report as a table followed by a slowdown histogram.
 pub(crate) fn print_table(stats: &LoadStats, costs: &Costs) {
     for (name, value) in json_report(stats, costs).as_object().into_iter().flatten() {
         println!("{name:<28} {value}");
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sends the schedule, gathers the answers and judges them.
+//! Runs the schedule against a deployment and prints the report.
 
 use {
     super::{
@@ -24,13 +24,13 @@
     },
 };
 
-/// Time given to the last frames before the counters are read, in milliseconds.
+/// Delay before the final counters are read, so that frames in flight are counted.
 const COUNTER_DELAY_MS: u64 = 200;
 
-/// Steps of the runtime's timer, with room, in milliseconds.
+/// Resolution of the Tokio timer (1 ms) plus a margin.
 const TIMER_RESOLUTION_MS: u64 = 2;
 
-/// Runs the load and prints the report; fails if an answer was wrong or missing.
+/// Runs the load and prints the report; fails if a response was incomplete.
 pub(crate) async fn run_load(args: LoadArgs) -> Result<(), RunError> {
     let plan: Arc<[PlannedJob]> = plan(&args).into();
     let client = Arc::new(LoadClient {
@@ -43,7 +43,7 @@
     }
     let before = read_costs(&client).await;
     let started_us = unix_us();
-    // The first jobs are sent after the timer's step, too.
+    // Leaves time for the sleep before the first arrival.
     let started_at = Instant::now() + Duration::from_millis(TIMER_RESOLUTION_MS);
     let zone = tokio::spawn(evacuate_and_restore_zone(Arc::clone(&client), started_at));
     let results = send_all(&client, &plan, started_at).await?;
@@ -70,7 +70,7 @@
         print_table(&stats, &costs);
     }
     if stats.partial > 0 {
-        let message = format!("{} answers were not whole", stats.partial);
+        let message = format!("{} responses were incomplete", stats.partial);
         return Err(RunError::Failed(message));
     }
     Ok(())
@@ -109,8 +109,8 @@
     Ok(results)
 }
 
-/// Waits to the microsecond: the timer alone would be late by up to a millisecond, which would
-/// count as overhead.
+/// Sleeps, then spins until the arrival time: the timer alone is up to a millisecond late, which
+/// would count as overhead.
 async fn wait_for_arrival(arrival: Instant) {
     sleep_until(arrival - Duration::from_millis(TIMER_RESOLUTION_MS)).await;
     while Instant::now() < arrival {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Takes the availability zone out and brings it back, if asked to; returns when.
+/// Evacuates and restores the configured zone, if any; returns the timestamps of both calls.
 async fn evacuate_and_restore_zone(
     client: Arc<LoadClient>,
     started_at: Instant,
--- a/src/load/schedule.rs
+++ b/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! When jobs arrive and how long their tasks work.
+//! Generates arrival times and run times of jobs.
 
 use {
     crate::cli::{LoadArgs, Shape},
@@ -6,56 +6,56 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Bursts come once in this many microseconds.
+/// Interval between the starts of bursts.
 const BURST_PERIOD_US: u64 = 1_000_000;
-/// Share of each period that a burst lasts.
+/// Fraction of the period that a burst lasts.
 const BURST_SHARE: f64 = 0.1;
-/// Shortest and longest time of an ordinary task, in milliseconds.
+/// Minimum and maximum run time of an ordinary task.
 const ORDINARY_RUN_MS: (f64, f64) = (50.0, 1_000.0);
-/// Shortest and longest time of a long task, in milliseconds.
+/// Minimum and maximum run time of a long task.
 const LONG_RUN_MS: (f64, f64) = (2_000.0, 4_000.0);
-/// Share of long tasks.
+/// Fraction of tasks that are long.
 const LONG_SHARE: f64 = 0.01;
-/// Tasks of a wide job.
+/// Number of tasks in a wide job.
 const WIDE_TASKS: usize = 200;
-/// Time of a wide job's task, in milliseconds.
+/// Run time of each task in a wide job.
 const WIDE_RUN_MS: u32 = 20;
-/// Memory that no worker has, in megabytes.
+/// More memory than any worker has.
 const IMPOSSIBLE_MEMORY_MB: u32 = 100_000_000;
 
 /// One task of a planned job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlannedTask {
-    /// How long it works.
+    /// Actual run time.
     pub(crate) run_ms: u32,
-    /// How long the client says that it works.
+    /// Run time declared by the client.
     pub(crate) declared_ms: u32,
 }
 
 /// One job of the schedule.
 #[derive(Debug, Clone)]
 pub(crate) struct PlannedJob {
-    /// When it is sent, in microseconds from the start.
+    /// Arrival time relative to the start of the schedule.
     pub(crate) at_us: u64,
-    /// Its tasks.
+    /// Tasks of the job.
     pub(crate) tasks: Vec<PlannedTask>,
-    /// Its deadline from the moment it is sent.
+    /// Deadline relative to the submission.
     pub(crate) deadline_ms: u64,
-    /// It is cancelled with others in the middle of the run.
+    /// Whether the client cancels the job, halfway through the load run.
     pub(crate) cancelled: bool,
-    /// Memory that each task declares, if it does.
+    /// Memory declared for each task, if any.
     pub(crate) memory_mb: Option<u32>,
 }
 
 impl PlannedJob {
-    /// The longest of its tasks, in milliseconds.
+    /// Run time of the longest task.
     pub(crate) fn longest_ms(&self) -> u64 {
         let longest = self.tasks.iter().map(|task| task.run_ms).max();
         u64::from(longest.unwrap_or(0))
     }
 }
 
-/// Poisson arrivals at the rate that gives the wanted load, with bursts if wanted.
+/// Generates Poisson arrivals at the rate for the requested load, optionally with bursts.
 pub(crate) fn plan(args: &LoadArgs) -> Vec<PlannedJob> {
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let jobs_per_s = args.load * args.slots as f64 / mean_job_s(args.shape);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Rate at a time as a multiple of the mean rate.
+/// Arrival rate at a given time as a multiple of the mean rate.
 fn rate_factor(burst_factor: f64, at_us: u64) -> f64 {
     let base = 1.0 / (1.0 + BURST_SHARE * (burst_factor - 1.0));
     let phase = (at_us % BURST_PERIOD_US) as f64 / BURST_PERIOD_US as f64;
@@ -110,7 +110,7 @@
     job
 }
 
-/// Three in four jobs are single requests, the others have up to 20 tasks.
+/// Three quarters of the jobs have one task, the others 2 to 20.
 fn mixed_task_count(rng: &mut ChaCha8Rng) -> usize {
     match rng.random_range(0..20) {
         0..15 => 1,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Work of an average job, in seconds.
+/// Mean run time of a job over all its tasks, in seconds.
 fn mean_job_s(shape: Shape) -> f64 {
     let (shortest, longest) = ORDINARY_RUN_MS;
     let ordinary_ms = (longest - shortest) / (longest / shortest).ln();
--- a/src/load/tests.rs
+++ b/src/load/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the schedule and the ideal that measurements are judged by.
+//! Tests of the ideal schedule that measured response times are compared with.
 
 use super::{
     ideal_schedule::ideal_responses_us,
--- a/src/load/ticket_pool.rs
+++ b/src/load/ticket_pool.rs
@@ -1,4 +1,4 @@
-//! Tickets in the client's hand.
+//! Pool of unused tickets.
 
 use {
     crate::adapters::http::HttpClient,
@@ -10,24 +10,24 @@
     },
 };
 
-/// Tickets asked for at a time.
+/// Tickets requested per fetch.
 const BATCH_SIZE: usize = 100;
 
-/// Tickets fetched ahead and those that came with answers; the newest is used first.
+/// Tickets fetched in advance or received with responses; the newest is used first.
 #[derive(Debug, Default)]
 pub(crate) struct TicketPool {
     tickets: Mutex<Vec<String>>,
 }
 
 impl TicketPool {
-    /// Keeps a ticket for a later job.
+    /// Adds a ticket; ignores an empty string.
     pub(crate) fn add(&self, ticket: &str) {
         if !ticket.is_empty() {
             self.lock().push(ticket.to_owned());
         }
     }
 
-    /// A ticket, fetched from the entry if none is in hand.
+    /// Removes a ticket from the pool, after fetching a batch from the entry if the pool is empty.
     pub(crate) async fn acquire(&self, client: &HttpClient, entry: SocketAddr) -> Option<String> {
         if let Some(ticket) = self.lock().pop() {
             return Some(ticket);
@@ -36,7 +36,7 @@
         self.lock().pop()
     }
 
-    /// Fetches a batch.
+    /// Fetches a batch of tickets from the entry.
     pub(crate) async fn fetch(&self, client: &HttpClient, entry: SocketAddr) {
         let path = format!("/v1/tickets?count={BATCH_SIZE}");
         let Ok(reply) = client
--- a/src/standin/agents.rs
+++ b/src/standin/agents.rs
@@ -1,4 +1,4 @@
-//! Many agents in one process, each the shipped agent with its own address, to measure slopes with.
+//! Runs many agents in one process, each on its own IP address, for scaling measurements.
 
 use {
     crate::{
@@ -18,14 +18,13 @@
     },
 };
 
-/// Port on which each agent listens for peers, at its own address.
+/// Peer port of every agent.
 const PEER_PORT: u16 = 7_400;
-/// Port of each agent's HTTP server, at its own address.
+/// HTTP port of every agent.
 const HTTP_PORT: u16 = 7_401;
-/// Pause between the backend server's announcements to one agent, in milliseconds.
+/// Interval between announcements of the backend server to one agent.
 const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
-/// Time over which the starts are spread for each agent, in microseconds, so that their seconds
-/// differ as they do on separate hosts.
+/// Period over which agent starts are spread, so that periodic work doesn't run in lockstep.
 const START_SPREAD_US: u64 = 1_000_000;
 
 /// Runs the agents until SIGTERM.
@@ -54,7 +53,7 @@
     Ok(())
 }
 
-/// The settings as their file would say them, so that the defaults are the shipped ones.
+/// Builds the settings through the settings file parser, so that its defaults apply.
 fn agent_settings(args: &AgentsArgs, index: u32) -> Result<AgentSettings, RunError> {
     let ip = Ipv4Addr::from_bits(args.first_ip.to_bits() + index);
     let number = args.first_number + index;
@@ -76,7 +75,7 @@
         .map_err(|faults| ConfError::Faults(format!("agent {number}"), faults).into())
 }
 
-/// Announces the shared backend server to one agent, as it would do itself.
+/// Announces the shared backend server to one agent periodically.
 async fn announce_backend(agent: SocketAddr, body: BackendBody) {
     let Ok(body) = serde_json::to_string(&body) else {
         return;
@@ -87,7 +86,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        // An agent that isn't there yet is told again at the next tick.
+        // The next tick retries if the agent is not up yet.
         let _ = client
             .send(Method::POST, agent, "/v1/backend", &headers, body.clone())
             .await;
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server's stand-in: runs tasks by sleeping and records every start.
+//! Stand-in for a backend server: runs tasks by sleeping and records every start.
 
 use {
     crate::{
@@ -27,22 +27,22 @@
     },
 };
 
-/// Pause between announcements to the agent, in milliseconds.
+/// Interval between announcements to the agent.
 const ANNOUNCE_INTERVAL_MS: u64 = 500;
 
-/// Faults that can be switched on by posting them to `/faults`.
+/// Injected faults, set by a POST to `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct BackendFaults {
-    /// Every task fails at once.
+    /// Fail every task immediately.
     fail_all: bool,
-    /// Every task is refused as not run.
+    /// Reject every task as not run.
     refuse_all: bool,
-    /// Every task takes this many times as long; zero counts as one.
+    /// Multiplier for the run time of every task; zero counts as one.
     slow_factor: u32,
-    /// No more announcements, and no new work wanted.
+    /// Announce that the server is leaving and accepts no new work.
     leaving: bool,
-    /// No more announcements.
+    /// Stop sending announcements.
     silent: bool,
 }
 
@@ -50,11 +50,11 @@
 #[derive(Debug, Clone, Serialize)]
 struct StartRecord {
     task: String,
-    /// Milliseconds since 1970, on this host's clock.
+    /// Start time as a Unix timestamp in milliseconds.
     at_unix_ms: u128,
-    /// Microseconds since 1970, on this host's clock.
+    /// Start time as a Unix timestamp in microseconds.
     at_unix_us: u128,
-    /// How long it ran, in microseconds; zero while it runs.
+    /// Run time; zero until the task has finished.
     ran_us: u128,
 }
 
@@ -65,11 +65,11 @@
     stops: BTreeMap<String, u32>,
 }
 
-/// The stand-in's record and its slots.
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct Backend {
     state: Mutex<BackendState>,
-    /// Tasks beyond the slots wait here: a backend server can't do more at a time than it can.
+    /// Limits concurrent tasks; further tasks wait for a slot.
     slots: Semaphore,
 }
 
@@ -80,7 +80,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a start and returns its position in the record.
+    /// Records a start and returns its index.
     fn record_start(&self, task: String) -> usize {
         let at = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -102,7 +102,7 @@
     }
 }
 
-/// Runs the stand-in until SIGTERM.
+/// Runs the backend server until SIGTERM.
 pub(crate) async fn run_backend(args: BackendArgs) -> Result<(), RunError> {
     let backend = Arc::new(Backend {
         state: Mutex::default(),
@@ -140,7 +140,7 @@
         let Ok(body) = serde_json::to_string(&body) else {
             return;
         };
-        // An agent that isn't there yet is told again at the next tick.
+        // The next tick retries if the agent is not up yet.
         let _ = client
             .send(
                 Method::POST,
@@ -170,11 +170,11 @@
     let started_at = Instant::now();
     let record = backend.record_start(task);
     if faults.fail_all {
-        return (StatusCode::INTERNAL_SERVER_ERROR, "told to fail").into_response();
+        return (StatusCode::INTERNAL_SERVER_ERROR, "injected fault").into_response();
     }
     let (work_ms, output) = input.split_once(' ').unwrap_or((input.as_str(), ""));
     let Ok(work_ms) = work_ms.parse::<u64>() else {
-        let message = "the input begins with a number of milliseconds";
+        let message = "task input must start with a run time in milliseconds";
         return (StatusCode::BAD_REQUEST, message).into_response();
     };
     let factor = u64::from(faults.slow_factor.max(1));
--- a/src/standin/jobs.rs
+++ b/src/standin/jobs.rs
@@ -1,4 +1,4 @@
-//! A steady stream of equal jobs, to measure what one task costs.
+//! Load generator that sends identical jobs at a fixed rate to measure the cost per task.
 
 use {
     crate::{
@@ -21,12 +21,12 @@
     },
 };
 
-/// Longest response time that the histogram tells apart, in microseconds.
+/// Upper bound of the response time histogram.
 const MAX_RESPONSE_US: u64 = 60_000_000;
-/// Age at which a ticket from an answer is thrown away rather than used, in seconds.
+/// Age at which an unused ticket is discarded.
 const TICKET_MAX_AGE_S: u64 = 60;
 
-/// Tickets that answers brought, as a client in its steady state has them.
+/// Tickets received with responses, oldest first.
 #[derive(Debug, Default)]
 struct TicketQueue(Mutex<VecDeque<(Instant, String)>>);
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sends the jobs, evenly spaced, and prints one JSON object about the answers.
+/// Sends evenly spaced jobs and prints a JSON summary of the responses.
 pub(crate) async fn run_jobs(args: JobsArgs) -> Result<(), RunError> {
     let failed = |error: &dyn ToString| RunError::Failed(error.to_string());
     let (client, tickets) = (HttpClient::new(), Arc::new(TicketQueue::default()));
@@ -93,7 +93,7 @@
     json!({ "service": args.service, "deadline_ms": args.deadline_ms, "tasks": tasks }).to_string()
 }
 
-/// One job: its verdict, and how long its answer took in microseconds.
+/// Sends one job; returns its verdict and the response time in microseconds.
 async fn send_job(
     client: &HttpClient,
     tickets: &TicketQueue,
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems, with faults to switch on; for tests and demonstrations only.
+//! Stand-ins for external systems with fault injection; for tests and demonstrations only.
 
 mod agents;
 mod backend;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in over HTTP.
+//! HTTP stand-in for the platform's table and object store, with fault injection.
 
 use {
     super::platform_store::PlatformStore,
@@ -22,20 +22,20 @@
     tokio::time::sleep,
 };
 
-/// Faults that can be switched on by posting them to `/faults`.
+/// Injected faults, set by a POST to `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct PlatformFaults {
-    /// Every call is refused.
+    /// Reject every call.
     down: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every call.
     slow_ms: u64,
-    /// The replies of this many writes are lost after the writes took effect; entries' writes of
-    /// their own roster rows don't count, as they come at any time.
+    /// Number of writes to apply without sending a response; writes of roster rows are not
+    /// counted, because entries make them at any time.
     lose_write_replies: u32,
 }
 
-/// Calls since the start.
+/// Number of calls received since the process started.
 #[derive(Debug, Clone, Default, Serialize)]
 struct PlatformCalls {
     reads: u64,
@@ -59,7 +59,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as the faults say; `Err` if the platform is down.
+    /// Counts a call and applies the faults; `Err` if the platform is down.
     async fn begin_call(&self, is_write: bool) -> Result<(), Response> {
         let faults = {
             let mut state = self.lock();
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Whether the reply of the write just made is to be lost.
+    /// Whether to drop the response to the current write; uses up one injected fault.
     fn should_drop_response(&self) -> bool {
         let mut state = self.lock();
         if state.faults.lose_write_replies == 0 {
@@ -87,7 +87,7 @@
         true
     }
 
-    /// The reply to a write, or none for good if a fault swallows it.
+    /// Returns the response to a write, or never completes if a fault drops it.
     async fn finish_write(&self, response: Response) -> Response {
         if self.should_drop_response() {
             std::future::pending::<()>().await;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Runs the stand-in until SIGTERM.
+/// Runs the platform until SIGTERM.
 pub(crate) async fn run_platform(args: PlatformArgs) -> Result<(), RunError> {
     let routes = Route::new()
         .at("/table/rows/:key", get(get_row))
--- a/src/standin/platform_store.rs
+++ b/src/standin/platform_store.rs
@@ -1,11 +1,11 @@
-//! The stand-in's table and objects, in memory.
+//! In-memory table and object store of the platform stand-in.
 
 use {
     crate::ports::{Row, Transaction, TransactionOutcome},
     std::collections::BTreeMap,
 };
 
-/// Rows and objects.
+/// Versioned rows and named objects.
 #[derive(Debug, Default)]
 pub(crate) struct PlatformStore {
     rows: BTreeMap<String, Row>,
@@ -13,12 +13,12 @@
 }
 
 impl PlatformStore {
-    /// One row.
+    /// Looks up a row.
     pub(crate) fn get(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// All rows with this prefix, in the order of their keys.
+    /// Rows whose key has the prefix, sorted by key.
     pub(crate) fn scan(&self, prefix: &str) -> Vec<Row> {
         self.rows
             .range(prefix.to_owned()..)
@@ -27,7 +27,7 @@
             .collect()
     }
 
-    /// Writes if all checks hold.
+    /// Applies all writes if every checked row has the expected version.
     pub(crate) fn transact(&mut self, transaction: Transaction) -> TransactionOutcome {
         for check in &transaction.checks {
             let version = self.rows.get(&check.key).map_or(0, |row| row.version);
@@ -53,12 +53,12 @@
         TransactionOutcome::Committed
     }
 
-    /// One object.
+    /// Looks up an object.
     pub(crate) fn object(&self, name: &str) -> Option<&String> {
         self.objects.get(name)
     }
 
-    /// Writes an object.
+    /// Creates or replaces an object.
     pub(crate) fn put_object(&mut self, name: String, body: String) {
         self.objects.insert(name, body);
     }
--- a/src/standin/rows_model.rs
+++ b/src/standin/rows_model.rs
@@ -1,11 +1,11 @@
-//! The published table store, in memory.
+//! In-memory model of the platform's table store.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that the feed remembers.
+/// Number of changes kept for the feed.
 const MAX_HISTORY_CHANGES: usize = 1_000;
 
-/// Names a row.
+/// Identifies a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RowName {
     pub(crate) table: String,
@@ -20,40 +20,41 @@
     pub(crate) version: u64,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ApplyOutcome {
-    /// All of it was applied.
+    /// All writes were applied.
     Committed,
-    /// A row had another version than expected.
+    /// A row did not have the expected version; nothing was written.
     Conflict,
 }
 
-/// What a feed says.
+/// Result of reading the change feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FeedPage {
-    /// Rows that changed, in order; a row that was removed has no value.
+    /// Changed rows in order of change; `None` for a removed row.
     Changes(Vec<(RowName, Option<StoredRow>)>),
-    /// What changed since is no longer known.
+    /// The history no longer covers the requested version.
     Truncated,
 }
 
-/// Rows, their versions and their newest changes.
+/// Rows with their versions and a bounded change history.
 #[derive(Debug, Default)]
 pub(crate) struct RowsModel {
     rows: BTreeMap<RowName, StoredRow>,
     version: u64,
     history: VecDeque<(u64, RowName)>,
+    /// Version of the newest change that was dropped from the history.
     truncated_version: u64,
 }
 
 impl RowsModel {
-    /// The newest version.
+    /// Version of the latest committed transaction.
     pub(crate) const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies all of a transaction, or nothing.
+    /// Applies a transaction atomically if all expected versions match.
     pub(crate) fn apply(
         &mut self,
         expected: &[(RowName, u64)],
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Forgets all changes; the rows stay.
+    /// Drops the change history but keeps the rows.
     pub(crate) fn clear_history(&mut self) {
         self.history.clear();
         self.truncated_version = self.version;
     }
 
-    /// The rows of one part of a table, by key.
+    /// Rows of one part of a table, sorted by key.
     pub(crate) fn part_rows(&self, table: &str, part: &str) -> Vec<(RowName, StoredRow)> {
         let is_in_part = |name: &RowName| name.table == table && name.part == part;
         let rows = self.rows.iter().filter(|(name, _)| is_in_part(name));
@@ -104,7 +105,7 @@
             .collect()
     }
 
-    /// What changed in a table after a version.
+    /// Changes to a table after a version.
     pub(crate) fn feed(&self, table: &str, after: u64) -> FeedPage {
         if after < self.truncated_version {
             return FeedPage::Truncated;
--- a/src/standin/site_store.rs
+++ b/src/standin/site_store.rs
@@ -1,4 +1,4 @@
-//! The published table store over HTTP, with faults to switch on.
+//! HTTP stand-in for the platform's table store, with fault injection.
 
 use {
     super::rows_model::{ApplyOutcome, FeedPage, RowName, RowsModel, StoredRow},
@@ -22,24 +22,24 @@
     },
 };
 
-/// Longest body that is taken, in bytes.
+/// Maximum request body size.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Faults that can be switched on by posting them to `/faults`.
+/// Injected faults, set by a POST to `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct StoreFaults {
-    /// Every call is refused.
+    /// Reject every request.
     down: bool,
-    /// No call is answered.
+    /// Leave every request without a response.
     silent: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every request.
     slow_ms: u64,
-    /// The answers of this many transactions are lost after they took effect.
+    /// Number of transactions to apply without sending a response.
     lose_answers: u32,
-    /// Calls that touch one of these parts, of any table, are refused.
+    /// Reject requests that touch one of these parts of any table.
     down_parts: Vec<String>,
-    /// Forget all changes once.
+    /// Clear the change history once.
     forget_history: bool,
 }
 
@@ -70,7 +70,7 @@
     changed: Notify,
 }
 
-/// Runs the stand-in until SIGTERM.
+/// Runs the table store until SIGTERM.
 pub(crate) async fn run_site_store(args: PlatformArgs) -> Result<(), RunError> {
     let listener = TcpListener::bind(args.listen)
         .await
@@ -102,7 +102,7 @@
     body
 }
 
-/// A value of the query, empty if absent.
+/// A query parameter, or an empty string if absent.
 fn query_value<'a>(request: &'a HttpRequest, field: &str) -> &'a str {
     let mut fields = request
         .query
@@ -113,12 +113,12 @@
         .map_or("", |(_, value)| value)
 }
 
-/// The parts that a call reads or writes.
+/// The parts that a request reads or writes.
 fn touched_parts(request: &HttpRequest) -> Vec<String> {
     match request.path.as_str() {
         "/v1/rows-get" => vec![query_value(request, "part").to_owned()],
         "/v1/rows-tx" => {
-            // A body that can't be read is refused by the call itself.
+            // The transaction handler rejects an invalid body.
             let body: TransactionBody = serde_json::from_slice(&request.body).unwrap_or_default();
             let rows = body.expect_rev.iter().chain(&body.puts).chain(&body.remove);
             rows.map(|row| row.part.clone()).collect()
@@ -184,7 +184,7 @@
         HttpResponse::json(StatusCode::OK, body.to_string())
     }
 
-    /// The changes after a version, as soon as there is one or the wait is over.
+    /// Long-polls for changes after a version; returns an empty page on timeout.
     async fn feed(&self, request: &HttpRequest) -> HttpResponse {
         let parse_number = |field| query_value(request, field).parse::<u64>().unwrap_or(0);
         let (after, wait) = (
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Waits as the faults say; `Some` if the call gets no further.
+    /// Applies delay faults; returns `Some` if a fault rejects the request.
     async fn apply_faults(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let faults = self.faults().clone();
         sleep(Duration::from_millis(faults.slow_ms)).await;
--- a/src/standin/site_worker.rs
+++ b/src/standin/site_worker.rs
@@ -1,7 +1,8 @@
-//! The published worker over HTTP, with faults to switch on.
+//! HTTP stand-in for a worker of the platform, with fault injection.
 //!
-//! A task's spec says how many milliseconds it runs, and `fail` after that if it is to fail. Each beginning and
-//! end of a run is a JSON line on standard output, with the time of a clock that all processes of a host share.
+//! A task's spec is its run time in milliseconds, optionally followed by `fail`. The start and end
+//! of each run are printed as JSON lines with timestamps of the host's boot clock, which are
+//! comparable across processes.
 
 use {
     super::worker_model::WorkerModel,
@@ -35,24 +36,24 @@
     },
 };
 
-/// Pause between looks at what has ended, in milliseconds.
+/// Interval between checks for finished runs.
 const POLL_INTERVAL_MS: u64 = 5;
-/// Run time where the spec names none, in milliseconds.
+/// Run time if the spec gives none.
 const DEFAULT_RUN_MS: u64 = 50;
 
-/// Faults that can be switched on by posting them to `/faults`.
+/// Injected faults, set by a POST to `/faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct WorkerFaults {
-    /// So many of a hundred orders are not answered, and carried out one to four seconds later.
+    /// Percentage of calls that get no response and are executed one to four seconds later.
     late_percent: u64,
-    /// So many of a hundred runs fail.
+    /// Percentage of runs that fail.
     fail_percent: u64,
-    /// Nothing ends by itself.
+    /// Let no run finish on its own.
     hangs: bool,
-    /// No call is answered or carried out.
+    /// Neither execute calls nor respond to them.
     cut: bool,
-    /// The worker says that it is about to end.
+    /// Report the worker as draining.
     draining: bool,
 }
 
@@ -78,10 +79,11 @@
     args: SiteWorkerArgs,
     model: Mutex<WorkerModel>,
     faults: Mutex<WorkerFaults>,
+    /// Active runs whose start has been printed.
     logged_runs: Mutex<BTreeMap<TaskId, u32>>,
 }
 
-/// Runs the stand-in until SIGTERM.
+/// Runs the worker until SIGTERM.
 pub(crate) async fn run_site_worker(args: SiteWorkerArgs) -> Result<(), RunError> {
     let listener = TcpListener::bind(args.listen)
         .await
@@ -135,7 +137,7 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Says which runs began and ended since it was last asked.
+    /// Prints the runs that started or ended since the previous call.
     fn log_run_changes(&self) {
         let mut model = self.model();
         let now = BootTimer.now();
@@ -180,11 +182,10 @@
             .send(Method::POST, self.args.agent, &path, &[], body)
             .await;
         if let Err(error) = sent {
-            log::debug!(error:% = error; "the agent can't be reached");
+            log::debug!(error:% = error; "cannot reach the agent");
         }
     }
 
-    /// Tells the agent of itself, again and again.
     async fn send_heartbeats(self: Arc<Self>) {
         loop {
             let body = self.heartbeat_body();
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Answers with both lists, at once or as soon as something has ended.
+    /// Returns the run list when a run has ended, or after the requested wait.
     async fn hold(&self, body: &WorkerCallBody) -> HttpResponse {
         let until = Instant::now() + Duration::from_millis(body.wait_ms);
         let call = HoldCall {
@@ -362,7 +363,7 @@
             std::future::pending::<()>().await;
         }
         if rand::rng().random_range(0..100) < faults.late_percent {
-            // Carried out later by a task of its own: the caller will have given up.
+            // The delay exceeds the caller's timeout.
             let delay_ms = rand::rng().random_range(1_000..4_000);
             sleep(Duration::from_millis(delay_ms)).await;
             let _late = self.execute(&request).await;
--- a/src/standin/worker_model.rs
+++ b/src/standin/worker_model.rs
@@ -1,4 +1,4 @@
-//! A worker as the platform describes it.
+//! In-memory model of a worker that follows the platform's API.
 
 use {
     crate::core::{
@@ -12,9 +12,9 @@
     std::collections::BTreeMap,
 };
 
-/// Longest lease that a worker grants, in milliseconds.
+/// Maximum lease duration; longer requests are shortened to it.
 const MAX_LEASE_MS: u64 = 1_000;
-/// A run at the worker.
+
 #[derive(Debug, Clone, Copy)]
 struct ActiveRun {
     number: u32,
@@ -22,23 +22,24 @@
     outcome: RunOutcome,
 }
 
-/// One worker; a crash begins another life.
+/// One incarnation of a worker; a restart needs a new model.
 #[derive(Debug)]
 pub(crate) struct WorkerModel {
-    /// The life that this is.
+    /// Identity and start time.
     pub(crate) incarnation: WorkerIncarnation,
-    /// It says that it is about to end.
+    /// Whether heartbeats announce the worker as draining.
     pub(crate) draining: bool,
-    /// Reports made.
+    /// Number of heartbeats sent.
     pub(crate) reports: u64,
-    /// Tasks stand still: nothing ends by itself.
+    /// Whether tasks hang: runs end only by a stop or when the lease expires.
     pub(crate) hangs: bool,
-    /// Tasks that it runs at a time.
+    /// Maximum number of concurrent runs.
     slots: usize,
     started_at: Instant,
-    /// Its clock runs so many thousandths slow.
+    /// How much slower the worker's clock runs than real time.
     slow_permille: u64,
     runs: BTreeMap<TaskId, ActiveRun>,
+    /// Highest run number used for each task.
     used_numbers: BTreeMap<TaskId, u32>,
     ended: Vec<ListedEnd>,
     last_end_sequence: u64,
@@ -47,7 +48,7 @@
 }
 
 impl WorkerModel {
-    /// A worker on which nothing has run.
+    /// Creates a worker without runs or a lease.
     pub(crate) fn new(
         now: Instant,
         id: String,
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Its clock, in milliseconds.
+    /// The worker's own clock, which starts at zero.
     pub(crate) fn clock_ms(&self, now: Instant) -> u64 {
         now.millis_since(self.started_at) * (1_000 - self.slow_permille) / 1_000
     }
 
-    /// What is at work, with the numbers of the runs.
+    /// Run number of each active task.
     pub(crate) fn active_runs(&self) -> BTreeMap<TaskId, u32> {
         self.runs
             .iter()
@@ -85,7 +86,7 @@
             .collect()
     }
 
-    /// Ends what is due by now, and everything when the lease is over; the tasks that are done.
+    /// Finishes due runs, or all runs as lost if the lease has expired; returns the tasks done.
     pub(crate) fn advance(&mut self, now: Instant) -> Vec<TaskId> {
         let lease_expired = self.clock_ms(now) >= self.lease_until_ms;
         let due: Vec<(TaskId, u32, RunOutcome)> = self
@@ -127,6 +128,7 @@
         });
     }
 
+    /// Whether a higher fencing token was seen before; records the token if not.
     fn is_fenced(&mut self, token: u64) -> bool {
         if token < self.token {
             return true;
@@ -140,7 +142,7 @@
         self.lease_until_ms = self.lease_until_ms.max(until_ms.min(latest_ms));
     }
 
-    /// Carries a start out; `begun` tells whether the task is at work on its account.
+    /// Handles a start call; the flag says whether it started a new run.
     pub(crate) fn start(
         &mut self,
         now: Instant,
@@ -181,7 +183,7 @@
         (StartResponse::Accepted, true)
     }
 
-    /// Carries a stop out; whether it was taken.
+    /// Handles a stop call; returns false if the call was fenced.
     pub(crate) fn stop(&mut self, call: &StopCall) -> bool {
         if self.is_fenced(call.token) {
             return false;
@@ -198,7 +200,7 @@
         true
     }
 
-    /// Carries a hold out.
+    /// Handles a hold call: extends the lease and lists active and ended runs.
     pub(crate) fn hold(&mut self, now: Instant, call: &HoldCall) -> HoldResponse {
         if self.is_fenced(call.token) {
             return HoldResponse::Fenced;
