--- a/src/agent/hand_over.rs
+++ b/src/agent/hand_over.rs
@@ -1,4 +1,4 @@
-//! A leaving agent's homes on their way to a successor.
+//! Hand-over of homes from a stopping agent to a successor.
 
 use {
     super::{AgentHandle, home_loop::HomeInput, home_routes::Adoption},
@@ -18,64 +18,66 @@
     },
 };
 
-/// How long to wait for an entry to name successors, in milliseconds.
-const SUCCESSORS_WAIT_MS: u64 = 2_000;
-/// Pause between looks and between offers, in milliseconds.
-const PAUSE_MS: u64 = 20;
-/// Time after which an offer is repeated, in milliseconds.
+const SUCCESSORS_TIMEOUT_MS: u64 = 2_000;
+const RETRY_INTERVAL_MS: u64 = 20;
 const OFFER_TIMEOUT_MS: u64 = 5_000;
 
 impl AgentHandle {
-    /// Goes on with a home that leaves elsewhere; `false` if this process is leaving, too.
+    /// Adopts the home of a stopping agent; returns `false` if this process is stopping, too.
     pub(crate) fn adopt(self: &Arc<Self>, records: HomeRecords) -> bool {
         let home = records.home;
         let adoption = self.homes.adopt(home, || {
             let (inputs, running) = self.starter.start_adopted(records);
             let agent = Arc::clone(self);
             tokio::spawn(async move {
-                // Ends when the home's tickets are over, or when it has moved on.
-                if running.await.is_ok() && agent.homes.here().contains(&home) {
-                    agent.homes.forget(home);
+                // The loop ends when all tickets have expired, or when the home has moved.
+                if running.await.is_ok() && agent.homes.local_homes().contains(&home) {
+                    agent.homes.remove(home);
                 }
             });
             inputs
         });
         if adoption == Adoption::New {
-            log::info!(home:? = home; "took over a leaving home");
+            log::info!(home:? = home; "adopted home of a stopping agent");
             self.announce_now.notify_one();
         }
-        adoption != Adoption::Refused
+        adoption != Adoption::Rejected
     }
 
-    /// Moves all homes of this process to a successor, as far as one is found before `until`.
-    pub(crate) async fn hand_over_homes(self: &Arc<Self>, until: Instant) {
+    /// Moves all homes of this process to successors that accept them before `deadline`.
+    pub(crate) async fn hand_over_homes(self: &Arc<Self>, deadline: Instant) {
         self.homes.stop_adopting();
-        let successors = self.await_successors(until).await;
-        for home in self.homes.here() {
-            self.hand_over(home, &successors, until).await;
+        let successors = self.wait_for_successors(deadline).await;
+        for home in self.homes.local_homes() {
+            self.hand_over(home, &successors, deadline).await;
         }
-        // Entries learn at once that this process answers for nobody any more.
+        // Tells entries without delay that this process owns no homes.
         self.announce_now.notify_one();
     }
 
-    async fn await_successors(&self, until: Instant) -> Vec<SocketAddr> {
-        let until = until.min(self.timer.now().plus_ms(SUCCESSORS_WAIT_MS));
+    async fn wait_for_successors(&self, deadline: Instant) -> Vec<SocketAddr> {
+        let deadline = deadline.min(self.timer.now().plus_ms(SUCCESSORS_TIMEOUT_MS));
         loop {
             let successors = self.successors();
-            if !successors.is_empty() || self.timer.now() >= until {
+            if !successors.is_empty() || self.timer.now() >= deadline {
                 return successors;
             }
-            sleep(Duration::from_millis(PAUSE_MS)).await;
+            sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
         }
     }
 
-    async fn hand_over(self: &Arc<Self>, home: AgentId, successors: &[SocketAddr], until: Instant) {
+    async fn hand_over(
+        self: &Arc<Self>,
+        home: AgentId,
+        successors: &[SocketAddr],
+        deadline: Instant,
+    ) {
         if successors.is_empty() {
-            self.tell_home(HomeEvent::Shutdown);
-            log::warn!(home:? = home; "no successor: its jobs end here");
+            self.notify_home(HomeEvent::Shutdown);
+            log::warn!(home:? = home; "no successor available; shutting down the home");
             return;
         }
-        let Some((inputs, moved)) = self.homes.start_move(home) else {
+        let Some((inputs, moved_to)) = self.homes.start_move(home) else {
             return;
         };
         let (reply, records) = oneshot::channel();
@@ -87,46 +89,45 @@
         };
         for successor in successors {
             let network = self.starter.network.as_ref();
-            let in_time = || self.timer.now() < until;
-            match offer(network, *successor, &records, in_time).await {
-                Offer::Taken => return self.finish_move(home, *successor, &moved),
-                Offer::Refused => {}
-                Offer::Unknown => {
-                    log::warn!(home:? = home, successor:% = successor; "hand-over without a reply");
+            let is_before_deadline = || self.timer.now() < deadline;
+            match offer_home(network, *successor, &records, is_before_deadline).await {
+                HandOverOutcome::Accepted => return self.finish_move(home, *successor, &moved_to),
+                HandOverOutcome::Rejected => {}
+                HandOverOutcome::Unknown => {
+                    log::warn!(home:? = home, successor:% = successor; "hand-over outcome unknown: no reply from the successor");
                     return;
                 }
             }
         }
-        log::warn!(home:? = home; "no successor took over: its jobs end here");
+        log::warn!(home:? = home; "no successor accepted the home; shutting it down");
         let (inputs, _) = self.starter.start_adopted(*records);
-        // The loop ends only with the process.
+        // The receiver is dropped only when the process exits.
         let _ = inputs.send(HomeInput::Event(HomeEvent::Shutdown));
-        self.homes.set_here(home, inputs);
+        self.homes.set_local(home, inputs);
     }
 
     fn finish_move(
         &self,
         home: AgentId,
         successor: SocketAddr,
-        moved: &watch::Sender<Option<SocketAddr>>,
+        moved_to: &watch::Sender<Option<SocketAddr>>,
     ) {
         log::info!(home:? = home, successor:% = successor; "home handed over");
-        moved.send_replace(Some(successor));
+        moved_to.send_replace(Some(successor));
     }
 }
 
-/// Offers the records to one successor until it is known whether it has them, or time is up.
+/// Offers a home's records to one successor until the outcome is known or the deadline passes.
 ///
-/// Guards against two processes that run the same jobs: once an offer may have arrived, no
-/// other successor is asked and this process doesn't go on with the home either. Repeating
-/// the offer to the same one is harmless, and only its own word that it has the home counts:
-/// a refusal may come from a process that has taken its place.
-pub(super) async fn offer(
+/// Once an offer may have arrived, only this successor is retried: a second owner of the home
+/// would run its jobs twice. Adopting is idempotent. A rejection after a possible arrival proves
+/// nothing, because a restarted process may have sent it.
+pub(super) async fn offer_home(
     network: &dyn PeerNetwork,
     to: SocketAddr,
     records: &HomeRecords,
-    in_time: impl Fn() -> bool,
-) -> Offer {
+    is_before_deadline: impl Fn() -> bool,
+) -> HandOverOutcome {
     let mut may_have_arrived = false;
     loop {
         let request = PeerRequest::Adopt(Box::new(records.clone()));
@@ -136,26 +137,26 @@
         )
         .await
         {
-            Ok(Ok(PeerReply::Adopted)) => return Offer::Taken,
+            Ok(Ok(PeerReply::Adopted)) => return HandOverOutcome::Accepted,
             Ok(Ok(_) | Err(PeerError::Unreachable(_))) if !may_have_arrived => {
-                return Offer::Refused;
+                return HandOverOutcome::Rejected;
             }
             Ok(_) | Err(_) => may_have_arrived = true,
         }
-        if !in_time() {
-            return Offer::Unknown;
+        if !is_before_deadline() {
+            return HandOverOutcome::Unknown;
         }
-        sleep(Duration::from_millis(PAUSE_MS)).await;
+        sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
     }
 }
 
-/// What became of an offer.
+/// Outcome of a home's offer to one successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Offer {
-    /// The successor answers for the home.
-    Taken,
-    /// It surely doesn't.
-    Refused,
-    /// It may.
+pub(super) enum HandOverOutcome {
+    /// The successor owns the home.
+    Accepted,
+    /// The successor didn't adopt the home.
+    Rejected,
+    /// The successor may have adopted the home.
     Unknown,
 }
--- a/src/core/roster/mod.rs
+++ b/src/core/roster/mod.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, and which of them an agent announces to.
+//! The roster of entries, and an agent's choice among them.
 
 mod entry_choice;
 mod roster;
@@ -10,5 +10,5 @@
 pub(crate) use {
     entry_choice::EntryChoice,
     roster::{Roster, RosterScan},
-    roster_row::{ROSTER_PREFIX, RosterRow, beat_key, entry_key},
+    roster_row::{ROSTER_PREFIX, RosterRow, entry_key, heartbeat_key},
 };
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -1,10 +1,10 @@
-//! Accepts operators' changes: plans them, writes them, and settles lost replies.
+//! Applies operators' configuration changes and resolves writes whose reply was lost.
 
 use {
     super::{
-        ApplyError, ConfigKeeper, InForce,
+        ApplyError, ConfigStore, InForce,
         config_draft::{Change, Draft, Proposal, sections_of},
-        config_keeper::{HEAD_KEY, history_key},
+        config_store::{HEAD_KEY, history_key},
     },
     crate::{
         conf::OperatorSettings,
@@ -21,53 +21,53 @@
     },
 };
 
-/// Times that a change is planned anew because another entry's change came in between.
-const RACES_LIMIT: usize = 20;
-/// How long a change waits for those before it at this entry, in milliseconds.
-const TURN_LIMIT_MS: u64 = 5_000;
-/// Tries to find out whether a write took effect whose reply was lost.
-const SETTLE_TRIES: usize = 10;
-/// Time after which finding out is given up, in milliseconds.
-const SETTLE_LIMIT_MS: u64 = 4_000;
-/// Pause between these tries, in milliseconds.
-const SETTLE_PAUSE_MS: u64 = 100;
+/// Attempts at a change that keeps conflicting with concurrent changes of other entries.
+const MAX_APPLY_ATTEMPTS: usize = 20;
+/// How long a change waits for other changes at this entry, in milliseconds.
+const LOCK_TIMEOUT_MS: u64 = 5_000;
+/// Attempts to resolve a write whose reply was lost.
+const MAX_RESOLVE_ATTEMPTS: usize = 10;
+/// Time after which the outcome of the write is reported as unknown, in milliseconds.
+const RESOLVE_TIMEOUT_MS: u64 = 4_000;
+/// Pause between these attempts, in milliseconds.
+const RESOLVE_INTERVAL_MS: u64 = 100;
 
-/// What an accepted change did.
+/// Result of an accepted change.
 #[derive(Debug, Clone)]
 pub(crate) struct AppliedChange {
-    /// The head in force with it.
+    /// The head after the change.
     pub(crate) head: Head,
-    /// The sections that changed; none if the document was in force already.
+    /// The changed sections; empty if the document was already in force.
     pub(crate) sections: Vec<&'static str>,
-    /// What changed, in words.
+    /// Human-readable differences.
     pub(crate) differences: Vec<Difference>,
 }
 
-/// The configuration in force with the version of its head row, zero if there is no row.
+/// The configuration in force and the version of its head row, zero if there is no row.
 #[derive(Debug)]
 struct Current {
     in_force: InForce,
     row_version: u64,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, PartialEq, Eq)]
-enum Written {
+enum WriteResult {
     Accepted,
-    /// Another change came first; this one had no effect and never will.
-    Raced,
+    /// Another change was written first; this one has no effect and never will.
+    Superseded,
 }
 
-impl ConfigKeeper {
-    /// Puts a change in force; `Ok` only once the platform holds it.
+impl ConfigStore {
+    /// Applies a change; returns `Ok` only once the platform has stored it.
     pub(crate) async fn apply(
         &self,
         operator: &OperatorSettings,
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let result = self.apply_in_turn(operator, change).await;
+        let result = self.apply_serialized(operator, change).await;
         let outcome = match &result {
-            Ok(accepted) if accepted.sections.is_empty() => "unchanged",
+            Ok(applied) if applied.sections.is_empty() => "unchanged",
             Ok(_) => "accepted",
             Err(error) => error.as_str(),
         };
@@ -75,39 +75,39 @@
         result
     }
 
-    /// What a change would do now, without making it.
+    /// Returns what a change would do now, without applying it.
     pub(crate) async fn preview(
         &self,
         owned: &[String],
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let current = self.current().await?;
+        let current = self.read_current().await?;
         let draft = self.draft(owned, change, &current.in_force).await?;
         Ok(AppliedChange {
             differences: current.in_force.document.differences(&draft.document),
-            sections: draft.taken,
+            sections: draft.changed,
             head: current.in_force.head,
         })
     }
 
-    async fn apply_in_turn(
+    async fn apply_serialized(
         &self,
         operator: &OperatorSettings,
         change: &Change,
     ) -> Result<AppliedChange, ApplyError> {
-        let _turn = self.wait_for_turn().await?;
-        for _ in 0..RACES_LIMIT {
-            let current = self.current().await?;
+        let _guard = self.lock_changes().await?;
+        for _ in 0..MAX_APPLY_ATTEMPTS {
+            let current = self.read_current().await?;
             let draft = self
                 .draft(&operator.sections, change, &current.in_force)
                 .await?;
-            if draft.taken.is_empty() {
+            if draft.changed.is_empty() {
                 return Ok(unchanged(current.in_force.head));
             }
             let differences = current.in_force.document.differences(&draft.document);
             let head = next_head(&current.in_force.head, operator, &draft);
-            let sections = draft.taken.clone();
-            if self.write(&current, &head, draft).await? == Written::Accepted {
+            let sections = draft.changed.clone();
+            if self.write(&current, &head, draft).await? == WriteResult::Accepted {
                 return Ok(AppliedChange {
                     head,
                     sections,
@@ -119,33 +119,36 @@
         Err(ApplyError::Busy)
     }
 
-    /// Lets one change of this entry at a time through, so that its own don't race each other.
-    async fn wait_for_turn(&self) -> Result<MutexGuard<'_, ()>, ApplyError> {
-        timeout(Duration::from_millis(TURN_LIMIT_MS), self.turn.lock())
-            .await
-            .map_err(|_| ApplyError::Busy)
+    /// Serializes this entry's changes, so that they don't conflict with each other.
+    async fn lock_changes(&self) -> Result<MutexGuard<'_, ()>, ApplyError> {
+        timeout(
+            Duration::from_millis(LOCK_TIMEOUT_MS),
+            self.change_lock.lock(),
+        )
+        .await
+        .map_err(|_| ApplyError::Busy)
     }
 
-    /// Reads the head row, and the document unless this entry holds it already; a newer one is in
-    /// force here from then on, so that an operator who is told of a conflict can read what came.
+    /// Reads the head row, and its document unless this entry has it already.
     ///
-    /// Guards against a configuration that reverts: a head older than the one in force here
-    /// shows that the platform lost rows, and nothing is built on it.
-    async fn current(&self) -> Result<Current, ApplyError> {
-        let asked_at = self.timer.now();
+    /// A newer document is applied here at once, so that an operator who gets a conflict can read
+    /// the version that caused it. A head older than the one in force here means that the platform
+    /// lost rows; no change is based on it.
+    async fn read_current(&self) -> Result<Current, ApplyError> {
+        let requested_at = self.timer.now();
         let row = self.read_head().await.map_err(ApplyError::Unavailable)?;
-        let held = self.state.in_force().unwrap_or_else(InForce::nothing);
+        let local = self.state.in_force().unwrap_or_else(InForce::empty);
         let (head, row_version) = row.unwrap_or_default();
-        if head.version < held.head.version {
+        if head.version < local.head.version {
             let detail = format!(
                 "the platform's head row went back to version {}",
                 head.version
             );
             return Err(ApplyError::Unavailable(StoreError::Unavailable(detail)));
         }
-        if head == held.head {
+        if head == local.head {
             return Ok(Current {
-                in_force: held,
+                in_force: local,
                 row_version,
             });
         }
@@ -153,7 +156,8 @@
             .read_document_of(head)
             .await
             .map_err(ApplyError::Unavailable)?;
-        self.state.head_read(asked_at, Some(in_force.clone()));
+        self.state
+            .record_head_read(requested_at, Some(in_force.clone()));
         Ok(Current {
             in_force,
             row_version,
@@ -172,7 +176,7 @@
         proposal.draft(&bases)
     }
 
-    /// Reads sections as they were at earlier versions, each version once.
+    /// Reads sections at earlier versions, each version once.
     async fn read_bases(
         &self,
         needed: &[(&'static str, u64)],
@@ -199,48 +203,48 @@
         Ok(bases)
     }
 
-    /// Writes the object, then moves the head to it in one transaction with its history row.
+    /// Writes the object, then the head and its history row in one transaction.
     async fn write(
         &self,
         current: &Current,
         head: &Head,
         draft: Draft,
-    ) -> Result<Written, ApplyError> {
+    ) -> Result<WriteResult, ApplyError> {
         self.put_text(&head.object, &draft.text).await?;
-        let asked_at = self.timer.now();
-        let (in_flight, roster_check) = self
+        let requested_at = self.timer.now();
+        let (change, roster_check) = self
             .state
             .begin_change(head.version, &draft.document)
-            .ok_or_else(not_known_yet)?;
+            .ok_or_else(not_known_to_all)?;
         let transaction = accept_transaction(head, current.row_version, roster_check.clone())?;
-        let written = match self.table.transact(transaction).await {
-            Ok(TransactionOutcome::Committed) => Written::Accepted,
+        let result = match self.table.transact(transaction).await {
+            Ok(TransactionOutcome::Committed) => WriteResult::Accepted,
             Ok(TransactionOutcome::Conflict { key }) if key == roster_check.key => {
-                in_flight.refused();
-                return Err(not_known_yet());
+                change.mark_not_applied();
+                return Err(not_known_to_all());
             }
-            Ok(TransactionOutcome::Conflict { .. }) => Written::Raced,
+            Ok(TransactionOutcome::Conflict { .. }) => WriteResult::Superseded,
             Err(error @ StoreError::Unavailable(_)) => {
-                in_flight.refused();
+                change.mark_not_applied();
                 return Err(ApplyError::Unavailable(error));
             }
-            Err(StoreError::OutcomeUnknown(detail)) => self.settle(current, head, detail).await?,
+            Err(StoreError::OutcomeUnknown(detail)) => self.resolve(current, head, detail).await?,
         };
-        if written == Written::Raced {
-            in_flight.refused();
+        if result == WriteResult::Superseded {
+            change.mark_not_applied();
         }
-        if written == Written::Accepted {
-            let accepted = InForce {
+        if result == WriteResult::Accepted {
+            let in_force = InForce {
                 head: head.clone(),
                 text: draft.text.into(),
                 document: Arc::new(draft.document),
             };
-            self.state.head_read(asked_at, Some(accepted));
+            self.state.record_head_read(requested_at, Some(in_force));
         }
-        Ok(written)
+        Ok(result)
     }
 
-    /// Writes the text under its name, which holds its digest: writing it twice does no harm.
+    /// Writes the text. The object's name contains the text's digest, so the write is idempotent.
     async fn put_text(&self, object: &str, text: &str) -> Result<(), ApplyError> {
         match self.objects.put_object(object, text.to_owned()).await {
             Ok(()) => Ok(()),
@@ -254,42 +258,41 @@
         }
     }
 
-    /// Finds out whether a write took effect whose reply was lost.
+    /// Determines whether a write whose reply was lost took effect.
     ///
-    /// Guards against a refusal that isn't true: a write whose reply was lost may still be under
-    /// way and land after the rows were read. So if its history row isn't there, the head row is
-    /// written anew with the value that it had: whichever of the two writes comes first makes
-    /// the other's check of the head row's version fail. After that, the history row's presence
-    /// says for good what became of the change.
-    async fn settle(
+    /// The write may still be in flight and take effect after a read. So if its history row is
+    /// missing, the head row is rewritten with its old value as a fence: whichever of the two
+    /// writes comes first makes the other's version check fail. After that, the presence of the
+    /// history row is final.
+    async fn resolve(
         &self,
         current: &Current,
         head: &Head,
         detail: String,
-    ) -> Result<Written, ApplyError> {
+    ) -> Result<WriteResult, ApplyError> {
         let started_at = self.timer.now();
-        for _ in 0..SETTLE_TRIES {
-            if let Some(written) = self.try_settle(current, head).await {
+        for _ in 0..MAX_RESOLVE_ATTEMPTS {
+            if let Some(result) = self.try_resolve(current, head).await {
                 self.metrics
                     .count(Counter::ConfigChanges, "settled_by_reading");
-                return Ok(written);
+                return Ok(result);
             }
-            if self.timer.now().millis_since(started_at) > SETTLE_LIMIT_MS {
+            if self.timer.now().millis_since(started_at) > RESOLVE_TIMEOUT_MS {
                 break;
             }
-            sleep(Duration::from_millis(SETTLE_PAUSE_MS)).await;
+            sleep(Duration::from_millis(RESOLVE_INTERVAL_MS)).await;
         }
         Err(ApplyError::OutcomeUnknown(head.version, detail))
     }
 
-    async fn try_settle(&self, current: &Current, head: &Head) -> Option<Written> {
+    async fn try_resolve(&self, current: &Current, head: &Head) -> Option<WriteResult> {
         if let Some(found) = self.read_history_row(head.version).await.ok()? {
-            return Some(became_of(head, Some(&found)));
+            return Some(write_result(head, Some(&found)));
         }
         let fence = fence_transaction(&current.in_force.head, current.row_version).ok()?;
         self.table.transact(fence).await.ok()?;
         let found = self.read_history_row(head.version).await.ok()?;
-        Some(became_of(head, found.as_ref()))
+        Some(write_result(head, found.as_ref()))
     }
 }
 
@@ -301,20 +304,20 @@
     }
 }
 
-/// Other entries don't count this one yet, so they would not ask it what it changed.
-fn not_known_yet() -> ApplyError {
-    let detail = "not every entry on the roster knows this one yet; use another entry".to_owned();
+/// Entries that don't know this one yet wouldn't wait for its changes before they grant permits.
+fn not_known_to_all() -> ApplyError {
+    let detail = "not all entries on the roster know this one yet; use another entry".to_owned();
     ApplyError::Unavailable(StoreError::Unavailable(detail))
 }
 
-fn became_of(head: &Head, found: Option<&Head>) -> Written {
+fn write_result(head: &Head, found: Option<&Head>) -> WriteResult {
     if found == Some(head) {
-        return Written::Accepted;
+        return WriteResult::Accepted;
     }
-    Written::Raced
+    WriteResult::Superseded
 }
 
-/// The head after this change.
+/// Returns the head that a change produces.
 fn next_head(head: &Head, operator: &OperatorSettings, draft: &Draft) -> Head {
     let change = SectionHead {
         version: head.version + 1,
@@ -323,7 +326,7 @@
     };
     let digest = blake3::hash(draft.text.as_bytes()).to_hex();
     let object = format!("config-{}-{}", change.version, &digest[..16]);
-    head.next(object, &draft.taken, &change)
+    head.next(object, &draft.changed, &change)
 }
 
 fn unix_ms() -> u64 {
@@ -333,8 +336,10 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Guards, by the check of this entry's own row, against a change by an entry that was taken off
-/// the roster while it was paused: others would not ask it any more whether it closed a zone.
+/// Builds the transaction that puts a change in force.
+///
+/// The check of this entry's own row fails if the entry was removed from the roster while it was
+/// paused: other entries no longer wait for its report on closed zones.
 fn accept_transaction(
     head: &Head,
     row_version: u64,
@@ -353,7 +358,7 @@
     })
 }
 
-/// Writes the head row anew with the value that it had.
+/// Rewrites the head row with its old value, which fences earlier writes.
 fn fence_transaction(head: &Head, row_version: u64) -> Result<Transaction, ApplyError> {
     Ok(Transaction {
         checks: vec![head_check(row_version)],
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows: agents, tickets and the configuration in force.
+//! State of an entry: agents, tickets and the configuration in force.
 
 use {
     crate::{
@@ -27,9 +27,9 @@
     tokio::sync::Notify,
 };
 
-/// For how long the runners of a service are not looked through anew, in milliseconds.
-const RING_MS: u64 = 50;
-/// Successors named to a leaving agent.
+/// How long a service's runner ring is reused, in milliseconds.
+const RING_LIFETIME_MS: u64 = 50;
+/// Successors sent to a leaving agent.
 const MAX_SUCCESSORS: usize = 3;
 
 /// The configuration in force at this entry.
@@ -43,14 +43,14 @@
     pub(crate) document: Arc<Document>,
 }
 
-/// What the lock guards.
+/// State behind the lock.
 #[derive(Debug)]
 pub(super) struct Inner {
-    pub(super) me: PeerEntry,
+    pub(super) local_entry: PeerEntry,
     pub(super) directory: Directory,
     pub(super) digests: DigestLog,
     pub(super) roster: Roster,
-    pub(super) heard_from: BTreeMap<AgentId, Instant>,
+    pub(super) last_heard: BTreeMap<AgentId, Instant>,
     pub(super) gate: ZoneGate,
     pub(super) tickets: TicketOffice,
     pub(super) in_force: Option<InForce>,
@@ -58,21 +58,21 @@
     rng: ChaCha8Rng,
 }
 
-/// Shared by all parts of an entry.
+/// State shared by all parts of an entry.
 #[derive(Debug)]
 pub(crate) struct EntryState {
     pub(super) timer: Arc<dyn TimerService>,
     pub(super) outage_limit_ms: u64,
-    /// Wakes the exchange of digests before its next tick.
-    pub(super) tell_entries: Notify,
-    /// Wakes whoever tells agents that their zone was taken out or in.
-    pub(super) tell_agents: Notify,
+    /// Triggers digests before the next tick.
+    pub(super) digest_wakeup: Notify,
+    /// Triggers notices to agents after a configuration change.
+    pub(super) gate_notice_wakeup: Notify,
     rings: Mutex<BTreeMap<String, (Instant, RunnerRing)>>,
     inner: Mutex<Inner>,
 }
 
 impl Inner {
-    /// Agents that could take over the homes of a leaving one, in an order of chance.
+    /// Returns agents that could adopt the homes of a leaving one, in random order.
     fn successors_of(&mut self, now: Instant, announcement: &Announcement) -> Vec<SocketAddr> {
         if !announcement.leaving {
             return Vec::new();
@@ -89,10 +89,10 @@
         successors
     }
 
-    fn renew_home_choice(&mut self, now: Instant) {
+    fn refresh_home_choice(&mut self, now: Instant) {
         let mut homes = self.tickets.homes(now);
-        homes.retain(|home| self.directory.takes_work(now, *home));
-        prefer_open(&mut homes, &self.directory, self.in_force.as_ref());
+        homes.retain(|home| self.directory.accepts_work(now, *home));
+        prefer_open_homes(&mut homes, &self.directory, self.in_force.as_ref());
         self.home_choice.refresh(now, homes);
     }
 
@@ -105,7 +105,7 @@
             ..
         } = self;
         let mut mint_at = |home| {
-            if !directory.takes_work(now, home) {
+            if !directory.accepts_work(now, home) {
                 return None;
             }
             tickets.mint(now, home)
@@ -117,9 +117,9 @@
 }
 
 impl EntryState {
-    /// An entry that knows nobody yet.
+    /// Creates the state of an entry without agents, peers or configuration.
     pub(crate) fn new(
-        me: PeerEntry,
+        local_entry: PeerEntry,
         timer: Arc<dyn TimerService>,
         outage_limit_ms: u64,
         seed: u64,
@@ -127,15 +127,15 @@
         Self {
             timer,
             outage_limit_ms,
-            tell_entries: Notify::new(),
-            tell_agents: Notify::new(),
+            digest_wakeup: Notify::new(),
+            gate_notice_wakeup: Notify::new(),
             rings: Mutex::default(),
             inner: Mutex::new(Inner {
-                me,
+                local_entry,
                 directory: Directory::default(),
                 digests: DigestLog::default(),
                 roster: Roster::default(),
-                heard_from: BTreeMap::new(),
+                last_heard: BTreeMap::new(),
                 gate: ZoneGate::new(outage_limit_ms),
                 tickets: TicketOffice::default(),
                 in_force: None,
@@ -149,8 +149,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an announcement in and answers it.
-    pub(crate) fn announce(&self, mut announcement: Announcement) -> AnnouncementReply {
+    /// Handles an agent's announcement.
+    pub(crate) fn handle_announcement(&self, mut announcement: Announcement) -> AnnouncementReply {
         let now = self.timer.now();
         let mut inner = self.lock();
         match announcement.grant.take() {
@@ -158,18 +158,18 @@
             None => inner.tickets.remove_grant(announcement.agent),
         }
         let successors = inner.successors_of(now, &announcement);
-        let (config_version, zone_open) = inner.verdict_on(&announcement);
+        let (config_version, zone_open) = inner.gate_decision(&announcement);
         let may_grant = zone_open
             && inner
                 .gate
                 .may_grant(now, &announcement.availability_zone, &announcement.worker);
         let roster = inner.roster_for_agents(now);
-        let roster_is_held = announcement.roster_digest == roster_digest(&roster);
+        let has_roster = announcement.roster_digest == roster_digest(&roster);
         if inner.directory.record_announcement(now, announcement) {
-            self.tell_entries.notify_one();
+            self.digest_wakeup.notify_one();
         }
         AnnouncementReply {
-            roster: (!roster_is_held).then_some(roster),
+            roster: (!has_roster).then_some(roster),
             successors,
             config_version,
             zone_open,
@@ -177,74 +177,83 @@
         }
     }
 
-    /// The configuration in force, if one has been read.
+    /// Returns the configuration in force, if one has been read.
     pub(crate) fn in_force(&self) -> Option<InForce> {
         self.lock().in_force.clone()
     }
 
-    /// Notes that the head row was read at `read_at`, with the document if it is a newer one.
+    /// Records a read of the head row, requested at `requested_at`, with a newer document if any.
     ///
-    /// Guards against a configuration that reverts: readings may cross, so a lower version
-    /// than the one in force changes nothing.
-    pub(crate) fn head_read(&self, read_at: Instant, newer: Option<InForce>) {
+    /// Reads may complete out of order, so a version older than the one in force is ignored.
+    pub(crate) fn record_head_read(&self, requested_at: Instant, newer: Option<InForce>) {
         let mut inner = self.lock();
-        let held = inner.in_force.as_ref().map_or(0, |held| held.head.version);
-        let version = newer.as_ref().map_or(held, |newer| newer.head.version);
-        inner.gate.record_head_read(read_at, version.max(held));
-        self.put_in_force(&mut inner, newer);
+        let current_version = inner
+            .in_force
+            .as_ref()
+            .map_or(0, |current| current.head.version);
+        let version = newer
+            .as_ref()
+            .map_or(current_version, |newer| newer.head.version);
+        inner
+            .gate
+            .record_head_read(requested_at, version.max(current_version));
+        self.set_in_force(&mut inner, newer);
     }
 
-    /// Takes in a configuration that another entry holds.
-    pub(crate) fn passed_on(&self, newer: InForce) {
-        self.put_in_force(&mut self.lock(), Some(newer));
+    /// Applies a configuration forwarded by another entry.
+    pub(crate) fn apply_forwarded(&self, newer: InForce) {
+        self.set_in_force(&mut self.lock(), Some(newer));
     }
 
-    fn put_in_force(&self, inner: &mut Inner, newer: Option<InForce>) {
-        let held = inner.in_force.as_ref().map_or(0, |held| held.head.version);
+    fn set_in_force(&self, inner: &mut Inner, newer: Option<InForce>) {
+        let current_version = inner
+            .in_force
+            .as_ref()
+            .map_or(0, |current| current.head.version);
         if let Some(newer) = newer
-            && newer.head.version > held
+            && newer.head.version > current_version
         {
             log::info!(version = newer.head.version; "configuration in force");
             inner.gate.record_version(newer.head.version);
             inner.in_force = Some(newer);
-            self.tell_entries.notify_one();
-            self.tell_agents.notify_one();
+            self.digest_wakeup.notify_one();
+            self.gate_notice_wakeup.notify_one();
         }
     }
 
-    /// Mints up to `count` tickets, spread over the homes at random.
+    /// Mints up to `count` tickets, distributed over the homes at random.
     pub(crate) fn mint(&self, count: usize) -> Vec<Ticket> {
         let now = self.timer.now();
         let mut inner = self.lock();
         if inner.home_choice.is_stale(now) {
-            inner.renew_home_choice(now);
+            inner.refresh_home_choice(now);
         }
         let mut minted = inner.mint_from_choice(now, count);
         if minted.len() < count {
-            inner.renew_home_choice(now);
+            inner.refresh_home_choice(now);
             let missing = count - minted.len();
             minted.extend(inner.mint_from_choice(now, missing));
         }
         minted
     }
 
-    /// Where a home is.
+    /// Returns the location of a home.
     pub(crate) fn locate(&self, home: AgentId) -> HomeLocation {
         self.lock().directory.locate(home)
     }
 
-    /// A call to an agent failed.
-    pub(crate) fn call_failed(&self, agent: AgentId) {
+    /// Records that a call to an agent failed.
+    pub(crate) fn record_call_failure(&self, agent: AgentId) {
         let now = self.timer.now();
-        self.lock().directory.call_failed(now, agent);
+        self.lock().directory.record_call_failure(now, agent);
     }
 
-    /// A call to an agent was answered.
-    pub(crate) fn call_answered(&self, agent: AgentId) {
-        self.lock().directory.call_answered(agent);
+    /// Records that an agent replied to a call.
+    pub(crate) fn record_call_success(&self, agent: AgentId) {
+        self.lock().directory.record_call_success(agent);
     }
 
-    /// The service's declaration, if the configuration in force has it.
+    /// Returns a service's declaration from the configuration in force.
     pub(crate) fn service(&self, name: &str) -> Result<Service, NotRunReason> {
         let inner = self.lock();
         let in_force = inner
@@ -259,22 +268,22 @@
             .ok_or(NotRunReason::UnknownService)
     }
 
-    /// Whether each task fits on some worker of the configuration in force.
+    /// Returns whether each task fits on some worker of the configuration in force.
     pub(crate) fn fits_somewhere(&self, spec: &JobSpec) -> bool {
         let inner = self.lock();
         let in_force = inner.in_force.as_ref();
         in_force.is_none_or(|in_force| fits_somewhere(&in_force.document, spec))
     }
 
-    /// Runners that could take tasks of a service now, with those that a home looks to first.
+    /// Returns runners with capacity for tasks of a service, including the home's preferred ones.
     ///
-    /// All runners are looked through anew after [`RING_MS`] only: for each job it would cost
-    /// more than the rest of the job at 1,500 workers. Reports of free slots are a second old.
+    /// The ring is rebuilt only after [`RING_LIFETIME_MS`]: with 1,500 workers, a rebuild costs more
+    /// than the rest of a job's handling, and reports of free slots are up to a second old anyway.
     pub(crate) fn candidates(&self, name: &str, home: AgentId) -> Vec<Candidate> {
         let now = self.timer.now();
         let mut rings = self.rings.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((made_at, ring)) = rings.get(name)
-            && now.millis_since(*made_at) < RING_MS
+            && now.millis_since(*made_at) < RING_LIFETIME_MS
         {
             return ring.shortlist(home);
         }
@@ -282,9 +291,9 @@
             rings.remove(name);
             return Vec::new();
         };
-        let named = ring.shortlist(home);
+        let shortlist = ring.shortlist(home);
         rings.insert(name.to_owned(), (now, ring));
-        named
+        shortlist
     }
 
     fn runner_ring(&self, now: Instant, name: &str) -> Option<RunnerRing> {
@@ -295,23 +304,28 @@
             .directory
             .candidates(now, &in_force.document, name, service);
         let mut homes = inner.tickets.homes(now);
-        homes.retain(|home| inner.directory.takes_work(now, *home));
-        // The same homes that tickets are minted for: each then has runners of its own.
-        prefer_open(&mut homes, &inner.directory, Some(in_force));
+        homes.retain(|home| inner.directory.accepts_work(now, *home));
+        // The same homes as in the home choice, so that each has its own runners.
+        prefer_open_homes(&mut homes, &inner.directory, Some(in_force));
         Some(RunnerRing::new(active_homes(homes), runners))
     }
 
-    /// The listed agents with their silence in milliseconds.
+    /// Returns the listed agents with the time since their last announcement, in milliseconds.
     pub(crate) fn agents(&self) -> Vec<(Announcement, u64)> {
         let now = self.timer.now();
         self.lock()
             .directory
-            .listed()
-            .map(|view| (view.announcement.clone(), now.millis_since(view.heard_at)))
+            .agents()
+            .map(|view| {
+                (
+                    view.announcement.clone(),
+                    now.millis_since(view.last_heard_at),
+                )
+            })
             .collect()
     }
 
-    /// Drops what is out of date and counts who is alive.
+    /// Removes expired state and returns the number of agents alive.
     pub(crate) fn expire(&self) -> usize {
         let now = self.timer.now();
         let mut inner = self.lock();
@@ -320,17 +334,20 @@
             digests,
             directory,
             roster,
-            heard_from,
-            me,
+            last_heard,
+            local_entry,
             ..
         } = &mut *inner;
-        let members: BTreeSet<AgentId> = roster.others(me.entry).map(|other| other.entry).collect();
+        let members: BTreeSet<AgentId> = roster
+            .others(local_entry.entry)
+            .map(|other| other.entry)
+            .collect();
         digests.expire(directory, |entry| members.contains(&entry));
-        heard_from.retain(|entry, _| members.contains(entry));
+        last_heard.retain(|entry, _| members.contains(entry));
         directory.alive(now).count()
     }
 
-    /// Whether the entry can serve clients: it holds a configuration and knows a home.
+    /// Returns whether the entry has a configuration and tickets of some home to serve clients.
     pub(crate) fn is_ready(&self) -> bool {
         let now = self.timer.now();
         let inner = self.lock();
@@ -338,8 +355,8 @@
     }
 }
 
-/// Leaves out homes in zones that were taken out, as their hosts may go next; unless all are.
-fn prefer_open(homes: &mut Vec<AgentId>, directory: &Directory, in_force: Option<&InForce>) {
+/// Removes homes in closed zones, whose hosts may stop soon, unless no open home is left.
+fn prefer_open_homes(homes: &mut Vec<AgentId>, directory: &Directory, in_force: Option<&InForce>) {
     let Some(in_force) = in_force else {
         return;
     };
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the other entries, and what it may vouch for.
+//! Entry membership: the roster, digests between entries, and configuration changes in flight.
 
 use {
     super::{EntryState, InForce, entry_state::Inner},
@@ -21,40 +21,42 @@
     },
 };
 
-/// Silence after which agents are no longer told of an entry, in milliseconds.
-const ENTRY_SILENT_MS: u64 = 5_000;
-/// Version of an entry's own row: it is written once.
-const ENTRY_ROW_VERSION: u64 = 1;
+/// Time without contact after which an entry is left out of the agents' roster, in milliseconds.
+const ENTRY_TIMEOUT_MS: u64 = 5_000;
+/// Version of an entry's row, which is written only once.
+const INITIAL_ROW_VERSION: u64 = 1;
 
-/// A change of the configuration under way; an abandoned one counts as of unknown outcome.
+/// A configuration change in flight; if dropped unmarked, its outcome counts as unknown.
 ///
-/// Guards against a caller that hangs up while its change is being written: the handler is
-/// dropped, the write may land all the same, and nobody would read what became of it.
+/// The handler is dropped when its caller disconnects, but the write may still take effect.
 #[derive(Debug)]
 pub(crate) struct ChangeInFlight {
     state: Arc<EntryState>,
     id: ChangeId,
-    end: ChangeOutcome,
+    outcome: ChangeOutcome,
 }
 
 impl ChangeInFlight {
-    /// The write certainly did not take effect and never will.
-    pub(crate) fn refused(mut self) {
-        self.end = ChangeOutcome::NotApplied;
+    /// Records that the write has no effect and never will.
+    pub(crate) fn mark_not_applied(mut self) {
+        self.outcome = ChangeOutcome::NotApplied;
     }
 }
 
 impl Drop for ChangeInFlight {
     fn drop(&mut self) {
         let now = self.state.timer.now();
-        self.state.lock().gate.finish_change(now, self.id, self.end);
-        self.state.tell_entries.notify_one();
+        self.state
+            .lock()
+            .gate
+            .finish_change(now, self.id, self.outcome);
+        self.state.digest_wakeup.notify_one();
     }
 }
 
 impl Inner {
-    /// The version held, and whether tasks may start at the worker that announces itself.
-    pub(super) fn verdict_on(&self, announcement: &Announcement) -> (u64, bool) {
+    /// Returns the version in force and whether tasks may start at the announcing worker.
+    pub(super) fn gate_decision(&self, announcement: &Announcement) -> (u64, bool) {
         let Some(in_force) = &self.in_force else {
             return (0, false);
         };
@@ -64,115 +66,119 @@
         (in_force.head.version, is_open)
     }
 
-    /// This entry and those heard lately.
+    /// Returns this entry and the other entries alive.
     pub(super) fn roster_for_agents(&self, now: Instant) -> Vec<PeerEntry> {
-        let is_heard = |entry: &PeerEntry| {
-            self.heard_from
+        let is_alive = |entry: &PeerEntry| {
+            self.last_heard
                 .get(&entry.entry)
-                .is_some_and(|at| now.millis_since(*at) < ENTRY_SILENT_MS)
+                .is_some_and(|at| now.millis_since(*at) < ENTRY_TIMEOUT_MS)
         };
         let mut roster: Vec<PeerEntry> = self
             .roster
-            .others(self.me.entry)
-            .filter(|entry| is_heard(entry))
+            .others(self.local_entry.entry)
+            .filter(|entry| is_alive(entry))
             .cloned()
             .collect();
-        roster.push(self.me.clone());
+        roster.push(self.local_entry.clone());
         roster.sort();
         roster
     }
 }
 
 impl EntryState {
-    /// This entry as it stands on the roster.
-    pub(crate) fn me(&self) -> PeerEntry {
-        self.lock().me.clone()
+    /// Returns this entry's own roster entry.
+    pub(crate) fn local_entry(&self) -> PeerEntry {
+        self.lock().local_entry.clone()
     }
 
-    /// The row by which this entry stands on the roster.
+    /// Returns this entry's roster row.
     pub(crate) fn roster_row(&self) -> RosterRow {
         RosterRow {
-            entry: self.me(),
+            entry: self.local_entry(),
             outage_limit_ms: self.outage_limit_ms,
         }
     }
 
-    /// Takes a new identity, as the rows of the old one were removed.
+    /// Changes the identity after the rows of the old one were removed.
     ///
-    /// Guards against a change begun under the old one that lands under the new one's row.
+    /// A change begun under the old identity then fails the check of its roster row.
     pub(crate) fn renew_identity(&self, identity: AgentId) {
         let mut inner = self.lock();
-        inner.me.entry = identity;
+        inner.local_entry.entry = identity;
         inner.gate.clear_roster();
     }
 
-    /// This entry's row was written by a call sent at `sent_at`.
-    pub(crate) fn row_written(&self, sent_at: Instant) {
+    /// Records that this entry's row was written by a call sent at `sent_at`.
+    pub(crate) fn record_row_written(&self, sent_at: Instant) {
         self.lock().gate.record_row_written(sent_at);
     }
 
-    /// Takes in the rows of the roster, scanned at `asked_at`, before the head row was read.
-    pub(crate) fn roster_read(
+    /// Applies a scan of the roster, requested at `requested_at` and before the head row was read.
+    pub(crate) fn apply_roster_scan(
         &self,
-        asked_at: Instant,
+        requested_at: Instant,
         rows: Vec<RosterRow>,
-        beats: &BTreeMap<String, u64>,
+        heartbeats: &BTreeMap<String, u64>,
     ) -> RosterScan {
         let now = self.timer.now();
         let mut inner = self.lock();
-        let me = inner.me.clone();
-        let survey = inner.roster.apply_scan(now, &me, rows, beats);
-        if survey.own_row_stands {
+        let local_entry = inner.local_entry.clone();
+        let scan = inner.roster.apply_scan(now, &local_entry, rows, heartbeats);
+        if scan.own_row_exists {
             let others: BTreeSet<AgentId> = inner
                 .roster
-                .others(me.entry)
+                .others(local_entry.entry)
                 .map(|other| other.entry)
                 .collect();
-            inner.gate.record_roster_read(asked_at, &others);
+            inner.gate.record_roster_read(requested_at, &others);
         }
-        survey
+        scan
     }
 
-    /// The other entries, once this one stands on the roster.
+    /// Returns the other entries; empty until this one is registered.
     pub(crate) fn other_entries(&self) -> Vec<PeerEntry> {
         let inner = self.lock();
         if !inner.gate.knows_roster() {
             return Vec::new();
         }
-        inner.roster.others(inner.me.entry).cloned().collect()
+        inner
+            .roster
+            .others(inner.local_entry.entry)
+            .cloned()
+            .collect()
     }
 
-    /// How many entries there are, this one included; `None` until the roster was read.
+    /// Returns the number of entries, including this one; `None` until the roster was read.
     pub(crate) fn entry_count(&self) -> Option<u64> {
         let inner = self.lock();
-        let count = inner.roster.others(inner.me.entry).count() as u64 + 1;
+        let count = inner.roster.others(inner.local_entry.entry).count() as u64 + 1;
         inner.gate.knows_roster().then_some(count)
     }
 
-    /// What to tell another entry now.
-    pub(crate) fn digest_for(&self, peer: AgentId) -> (Digest, AgentDigest) {
+    /// Builds the digest for another entry.
+    pub(crate) fn build_digest(&self, peer: AgentId) -> (Digest, AgentDigest) {
         let now = self.timer.now();
         let mut inner = self.lock();
         let Inner {
             digests, directory, ..
         } = &mut *inner;
-        let mut telling = digests.build_digest(now, peer, directory);
+        let mut agent_digest = digests.build_digest(now, peer, directory);
         let digest = Digest {
-            from: inner.me.clone(),
+            from: inner.local_entry.clone(),
             version: inner.gate.status(now).version,
-            reports: std::mem::take(&mut telling.reports),
-            beats: std::mem::take(&mut telling.beats),
+            reports: std::mem::take(&mut agent_digest.reports),
+            beats: std::mem::take(&mut agent_digest.heartbeats),
         };
-        (digest, telling)
+        (digest, agent_digest)
     }
 
-    /// Takes another entry's digest in and answers it.
-    pub(crate) fn digest(&self, digest: Digest) -> DigestReply {
+    /// Handles another entry's digest.
+    pub(crate) fn handle_digest(&self, digest: Digest) -> DigestReply {
         let now = self.timer.now();
         let mut inner = self.lock();
         let from = digest.from.entry;
         inner.gate.add_member(now, from);
-        inner.heard_from.insert(from, now);
+        inner.last_heard.insert(from, now);
         inner
             .roster
             .add_announced(now, digest.from, self.outage_limit_ms);
@@ -185,39 +191,41 @@
         let unknown = digest
             .beats
             .into_iter()
-            .filter(|beat| !inner.directory.record_heartbeat(now, from, *beat))
-            .map(|beat| beat.index)
+            .filter(|heartbeat| !inner.directory.record_heartbeat(now, from, *heartbeat))
+            .map(|heartbeat| heartbeat.index)
             .collect();
         let status = inner.gate.status(now);
         if digest.version > status.version {
-            self.tell_entries.notify_one();
+            self.digest_wakeup.notify_one();
         }
         DigestReply {
-            entry: inner.me.entry,
+            entry: inner.local_entry.entry,
             status,
             unknown,
         }
     }
 
-    /// Takes in an entry's answer to the digest sent at `asked_at`; true if it holds a newer
-    /// configuration than this one.
-    pub(crate) fn digest_answered(
+    /// Handles the reply to the digest sent at `requested_at`; returns whether the other entry has
+    /// a newer configuration.
+    pub(crate) fn handle_digest_reply(
         &self,
-        asked_at: Instant,
-        telling: &AgentDigest,
+        requested_at: Instant,
+        agent_digest: &AgentDigest,
         reply: &DigestReply,
     ) -> bool {
         let now = self.timer.now();
         let mut inner = self.lock();
-        inner.heard_from.insert(reply.entry, now);
-        inner.digests.confirm(reply.entry, telling, &reply.unknown);
+        inner.last_heard.insert(reply.entry, now);
+        inner
+            .digests
+            .confirm(reply.entry, agent_digest, &reply.unknown);
         inner
             .gate
-            .record_status(asked_at, reply.entry, reply.status.clone());
+            .record_status(requested_at, reply.entry, reply.status.clone());
         reply.status.version > inner.gate.status(now).version
     }
 
-    /// Notes that a change is about to be written; `None` while others don't know this entry.
+    /// Records that a change is about to be written; `None` while others don't know this entry.
     pub(crate) fn begin_change(
         self: &Arc<Self>,
         version: u64,
@@ -230,45 +238,45 @@
         let closing = closing(inner.in_force.as_ref(), document);
         let id = inner.gate.begin_change(version, closing);
         let check = Check {
-            key: entry_key(inner.me.entry),
-            version: ENTRY_ROW_VERSION,
+            key: entry_key(inner.local_entry.entry),
+            version: INITIAL_ROW_VERSION,
         };
         let change = ChangeInFlight {
             state: Arc::clone(self),
             id,
-            end: ChangeOutcome::MaybeApplied,
+            outcome: ChangeOutcome::MaybeApplied,
         };
         Some((change, check))
     }
 
-    /// What agents heard here are to be told after the configuration changed from `before`.
+    /// Returns the notices for agents that announce here after a change from `before`.
     pub(crate) fn gate_notices(&self, before: Option<&InForce>) -> Vec<(SocketAddr, GateNotice)> {
         let now = self.timer.now();
         let inner = self.lock();
-        let was_open = |said: &Announcement| {
+        let was_open = |announcement: &Announcement| {
             before.is_some_and(|before| {
                 before
                     .document
-                    .worker_is_open(&said.worker, &said.availability_zone)
+                    .worker_is_open(&announcement.worker, &announcement.availability_zone)
             })
         };
         inner
             .directory
             .announced_here(now, None)
             .map(|view| &view.announcement)
-            .filter_map(|said| {
-                let (config_version, zone_open) = inner.verdict_on(said);
+            .filter_map(|announcement| {
+                let (config_version, zone_open) = inner.gate_decision(announcement);
                 let notice = GateNotice {
                     config_version,
                     zone_open,
                 };
-                (zone_open != was_open(said)).then_some((said.peer_addr, notice))
+                (zone_open != was_open(announcement)).then_some((announcement.peer_addr, notice))
             })
             .collect()
     }
 }
 
-/// Where tasks may start now and no longer after the change.
+/// Returns where tasks may start now but not after the change.
 fn closing(in_force: Option<&InForce>, document: &Document) -> BTreeSet<Closing> {
     let Some(in_force) = in_force else {
         return BTreeSet::new();
