--- a/src/adapters/http/long_body.rs
+++ b/src/adapters/http/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reads answers that may be long.
+//! Reads response bodies that may be large.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -8,14 +8,17 @@
     tokio::time::timeout,
 };
 
-/// Reads a body for as long as it comes without a pause of `pause_ms`; the error says what ended it.
+/// Reads a body and fails if no data arrives for `idle_timeout_ms`.
 ///
-/// Guards against a large answer that is given up over and over because it shares its link with others.
-pub(crate) async fn read_long_body(mut body: Incoming, pause_ms: u64) -> Result<Bytes, String> {
-    let pause = Duration::from_millis(pause_ms);
+/// There is no limit on the total time, so a large response over a slow link completes.
+pub(crate) async fn read_body_with_idle_timeout(
+    mut body: Incoming,
+    idle_timeout_ms: u64,
+) -> Result<Bytes, String> {
+    let idle_timeout = Duration::from_millis(idle_timeout_ms);
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(pause, body.frame()).await;
+        let frame = timeout(idle_timeout, body.frame()).await;
         let Some(frame) = frame.map_err(|_| "timed out".to_owned())? else {
             return Ok(bytes.freeze());
         };
--- a/src/adapters/http/timed_socket.rs
+++ b/src/adapters/http/timed_socket.rs
@@ -1,4 +1,4 @@
-//! When the other end of a connection last sent something.
+//! Activity of an HTTP connection, for its timeouts.
 
 use {
     crate::adapters::socket::{ObservedSocket, SocketObserver},
@@ -9,92 +9,93 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct Times {
-    /// Bytes that came after the last answer; they are the head of a call, or its beginning.
-    head_since: Option<Instant>,
-    /// The newest byte or answer.
-    used_at: Instant,
-    /// Calls that are being answered.
-    calls: usize,
+struct ConnectionState {
+    /// When the first bytes of the current request header arrived.
+    header_started_at: Option<Instant>,
+    /// When bytes last arrived or a response was completed.
+    last_activity_at: Instant,
+    active_requests: usize,
 }
 
-/// Clock of one connection, shared by its socket and its calls.
+/// Activity of one connection, shared by its socket and its requests.
 #[derive(Debug)]
 pub(super) struct ConnectionClock {
-    times: Mutex<Times>,
+    state: Mutex<ConnectionState>,
 }
 
 impl Default for ConnectionClock {
     fn default() -> Self {
         Self {
-            times: Mutex::new(Times {
-                head_since: None,
-                used_at: Instant::now(),
-                calls: 0,
+            state: Mutex::new(ConnectionState {
+                header_started_at: None,
+                last_activity_at: Instant::now(),
+                active_requests: 0,
             }),
         }
     }
 }
 
-/// A call that is being answered.
+/// Marks a request as active until dropped.
 #[derive(Debug)]
-pub(super) struct CallGuard(Arc<ConnectionClock>);
+pub(super) struct RequestGuard(Arc<ConnectionClock>);
 
-impl Drop for CallGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.change(|times| {
-            times.calls -= 1;
-            times.used_at = Instant::now();
+        self.0.update(|state| {
+            state.active_requests -= 1;
+            state.last_activity_at = Instant::now();
         });
     }
 }
 
 impl ConnectionClock {
-    fn change(&self, change: impl FnOnce(&mut Times)) {
-        change(&mut self.times.lock().unwrap_or_else(PoisonError::into_inner));
+    fn update(&self, update: impl FnOnce(&mut ConnectionState)) {
+        update(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    fn times(&self) -> Times {
-        *self.times.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> ConnectionState {
+        *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a call's head has been read.
-    pub(super) fn call(self: &Arc<Self>) -> CallGuard {
-        self.change(|times| {
-            times.calls += 1;
-            times.head_since = None;
+    /// Records that a request header has been read.
+    pub(super) fn start_request(self: &Arc<Self>) -> RequestGuard {
+        self.update(|state| {
+            state.active_requests += 1;
+            state.header_started_at = None;
         });
-        CallGuard(Arc::clone(self))
+        RequestGuard(Arc::clone(self))
     }
 
-    fn note_bytes(&self) {
-        self.change(|times| {
+    fn record_read(&self) {
+        self.update(|state| {
             let now = Instant::now();
-            times.used_at = now;
-            if times.calls == 0 && times.head_since.is_none() {
-                times.head_since = Some(now);
+            state.last_activity_at = now;
+            if state.active_requests == 0 && state.header_started_at.is_none() {
+                state.header_started_at = Some(now);
             }
         });
     }
 
-    /// Whether a call's head has begun so long ago and is not there in full.
-    pub(super) fn is_head_late(&self, after_ms: u64) -> bool {
-        let since = self.times().head_since;
-        since.is_some_and(|since| since.elapsed().as_millis() >= u128::from(after_ms))
+    /// Whether a request header is still incomplete `timeout_ms` after its first bytes.
+    pub(super) fn is_header_overdue(&self, timeout_ms: u64) -> bool {
+        let started_at = self.state().header_started_at;
+        started_at
+            .is_some_and(|started_at| started_at.elapsed().as_millis() >= u128::from(timeout_ms))
     }
 
-    /// Whether nothing has come or gone for so long.
-    pub(super) fn is_idle_for(&self, after_ms: u64) -> bool {
-        let times = self.times();
-        times.calls == 0 && times.used_at.elapsed().as_millis() >= u128::from(after_ms)
+    /// Whether the connection has had no activity for `timeout_ms`.
+    pub(super) fn is_idle_for(&self, timeout_ms: u64) -> bool {
+        let state = self.state();
+        state.active_requests == 0
+            && state.last_activity_at.elapsed().as_millis() >= u128::from(timeout_ms)
     }
 }
 
 impl SocketObserver for Arc<ConnectionClock> {
     fn on_read(&self, _bytes: usize) {
-        self.note_bytes();
+        self.record_read();
     }
 }
 
-/// A socket that notes when bytes come in.
+/// A socket that records when bytes arrive.
 pub(super) type TimedSocket = ObservedSocket<Arc<ConnectionClock>>;
--- a/src/adapters/link/frame_link.rs
+++ b/src/adapters/link/frame_link.rs
@@ -1,9 +1,9 @@
-//! Opens and takes sessions.
+//! Opens and accepts sessions.
 
 use {
     super::FrameDuplex,
     crate::{
-        adapters::peer::{SessionEnds, counted, run_session},
+        adapters::peer::{SessionChannels, run_session, with_byte_counter},
         ports::{Metrics, PeerError},
     },
     bytes::Bytes,
@@ -18,28 +18,23 @@
     },
 };
 
-/// Path of sessions.
 const LINK_PATH: &str = "/link";
-/// Time to connect, in milliseconds.
-///
-/// Guards against seconds without sessions after a power loss for all: an agent that is up before an entry sends its
-/// opening packet to a dark host, and the kernel sends the next one only a second later. A host that is up
-/// answers within a round trip of two to six milliseconds, however busy its processes are.
+/// Shorter than the kernel's SYN retransmission timeout of 1 s: after a power loss, an agent that is up
+/// before the entry's host retries sooner than the kernel would. The kernel of a running host accepts
+/// connections within a round trip of 2 to 6 ms, however busy its processes are.
 const CONNECT_TIMEOUT_MS: u64 = 100;
-/// Time to connect and open a session, in milliseconds: an entry that starts takes 70 of them at the same time.
+/// Time to connect and open a session; a starting entry accepts about 70 sessions at once.
 const OPEN_TIMEOUT_MS: u64 = 500;
-/// Most bytes under way on a session: a burst of starts with specs of 4 KB each.
+/// Flow-control window; holds a burst of starts with specs of 4 KB each.
 const WINDOW_BYTES: u32 = 1 << 20;
-/// Frames held for a slow reader.
-const BUFFER_FRAMES: usize = 256;
-/// Pause after an accept that failed, in milliseconds.
-const ACCEPT_PAUSE_MS: u64 = 20;
+const MAX_BUFFERED_FRAMES: usize = 256;
+const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
 
 fn unreachable(error: impl ToString) -> PeerError {
     PeerError::Unreachable(error.to_string())
 }
 
-/// Opens a session with the process that listens there.
+/// Opens a session with the process at this address.
 pub(crate) async fn dial_link<In, Out>(
     to: SocketAddr,
     metrics: Arc<dyn Metrics>,
@@ -67,35 +62,35 @@
         TcpStream::connect(to),
     )
     .await
-    .map_err(|_| unreachable("no answer to the opening packet"))?
+    .map_err(|_| unreachable("connect timed out"))?
     .map_err(unreachable)?;
     socket.set_nodelay(true).map_err(unreachable)?;
     let (mut sender, connection) = h2::client::Builder::new()
         .initial_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
-        .handshake(counted(socket, metrics))
+        .handshake(with_byte_counter(socket, metrics))
         .await
         .map_err(unreachable)?;
     let request = Request::post(format!("http://{to}{LINK_PATH}"))
         .body(())
         .map_err(unreachable)?;
     let (response, body) = sender.send_request(request, false).map_err(unreachable)?;
-    let (duplex, ends) = duplex();
-    let (answered, open) = tokio::sync::oneshot::channel();
+    let (duplex, channels) = duplex();
+    let (opened, open) = tokio::sync::oneshot::channel();
     let session = async move {
         match response.await {
             Ok(response) => {
-                // The caller may have given up waiting; the session then ends with its sender.
-                let _ = answered.send(Ok(()));
-                pump(response.into_body(), body, ends).await;
+                // The caller may have timed out; the session then ends with its sender.
+                let _ = opened.send(Ok(()));
+                pump(response.into_body(), body, channels).await;
             }
             Err(error) => {
-                let _ = answered.send(Err(error));
+                let _ = opened.send(Err(error));
             }
         }
     };
     tokio::spawn(async move {
-        // Dropping the connection closes the socket, also when the other side is silent.
+        // Dropping the connection closes the socket, even if the other side is unresponsive.
         tokio::select! {
             _ = connection => {}
             () = session => {}
@@ -105,7 +100,7 @@
     Ok(duplex)
 }
 
-/// Takes sessions until the task is dropped.
+/// Accepts sessions until the task is dropped.
 pub(crate) async fn serve_links<In, Out>(
     listener: TcpListener,
     opened: mpsc::UnboundedSender<FrameDuplex<In, Out>>,
@@ -121,8 +116,8 @@
                 tokio::spawn(serve_link(socket, opened, metrics));
             }
             Err(error) => {
-                log::warn!(error:% = error; "accepting a session failed");
-                sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
+                log::warn!(error:% = error; "accepting a link connection failed");
+                sleep(Duration::from_millis(ACCEPT_RETRY_INTERVAL_MS)).await;
             }
         }
     }
@@ -137,7 +132,7 @@
     Out: Serialize + Send + 'static,
 {
     if let Err(error) = accept(socket, opened, metrics).await {
-        log::debug!(error:% = error; "a session could not be taken");
+        log::debug!(error:% = error; "opening a session failed");
     }
 }
 
@@ -154,49 +149,52 @@
     let handshake = h2::server::Builder::new()
         .initial_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
-        .handshake::<_, Bytes>(counted(socket, metrics));
-    let taking = async {
+        .handshake::<_, Bytes>(with_byte_counter(socket, metrics));
+    let accepting = async {
         let mut connection = handshake.await.map_err(unreachable)?;
         let stream = connection.accept().await;
         let stream = stream.ok_or_else(|| unreachable("closed"))?;
         Ok((connection, stream.map_err(unreachable)?))
     };
     let (mut connection, (request, mut respond)) =
-        timeout(Duration::from_millis(OPEN_TIMEOUT_MS), taking)
+        timeout(Duration::from_millis(OPEN_TIMEOUT_MS), accepting)
             .await
             .map_err(|_| unreachable("timed out"))??;
     let body = respond
         .send_response(Response::new(()), false)
         .map_err(unreachable)?;
-    let (duplex, ends) = duplex();
+    let (duplex, channels) = duplex();
     if opened.send(duplex).is_err() {
         return Ok(());
     }
     tokio::select! {
-        // No second stream is taken; this drives the connection until it closes.
+        // Drives the connection until it closes; a second stream is not accepted.
         _ = connection.accept() => {}
-        () = pump(request.into_body(), body, ends) => {}
+        () = pump(request.into_body(), body, channels) => {}
     }
     Ok(())
 }
 
-fn duplex<In, Out>() -> (FrameDuplex<In, Out>, SessionEnds<In, Out>) {
+fn duplex<In, Out>() -> (FrameDuplex<In, Out>, SessionChannels<In, Out>) {
     let (outgoing, frames) = mpsc::unbounded_channel();
-    let (received, incoming) = mpsc::channel(BUFFER_FRAMES);
-    let ends = SessionEnds {
+    let (received, incoming) = mpsc::channel(MAX_BUFFERED_FRAMES);
+    let channels = SessionChannels {
         outgoing: frames,
         received,
     };
-    (FrameDuplex { incoming, outgoing }, ends)
+    (FrameDuplex { incoming, outgoing }, channels)
 }
 
 /// Moves frames both ways until either side ends.
-async fn pump<In, Out>(stream: RecvStream, body: SendStream<Bytes>, ends: SessionEnds<In, Out>)
-where
+async fn pump<In, Out>(
+    stream: RecvStream,
+    body: SendStream<Bytes>,
+    channels: SessionChannels<In, Out>,
+) where
     In: DeserializeOwned,
     Out: Serialize,
 {
-    if let Err(error) = run_session(stream, body, ends).await {
-        log::debug!(error:% = error; "a session broke");
+    if let Err(error) = run_session(stream, body, channels).await {
+        log::debug!(error:% = error; "session failed");
     }
 }
--- a/src/adapters/metrics/otel_metrics.rs
+++ b/src/adapters/metrics/otel_metrics.rs
@@ -1,10 +1,12 @@
-//! Counters and gauges on opentelemetry's Prometheus exporter.
+//! Metrics on opentelemetry's Prometheus exporter.
 
 use {
-    crate::ports::{Counter, Gauge, Metrics, Span},
+    crate::ports::{Counter, Gauge, Histogram, Metrics},
     opentelemetry::{
         KeyValue,
-        metrics::{Counter as OtelCounter, Gauge as OtelGauge, Histogram, MeterProvider},
+        metrics::{
+            Counter as OtelCounter, Gauge as OtelGauge, Histogram as OtelHistogram, MeterProvider,
+        },
     },
     opentelemetry_sdk::{error::OTelSdkError, metrics::SdkMeterProvider},
     prometheus::{Encoder, Registry, TextEncoder},
@@ -16,13 +18,13 @@
     registry: Registry,
     counters: BTreeMap<Counter, OtelCounter<u64>>,
     gauges: BTreeMap<Gauge, OtelGauge<u64>>,
-    spans: BTreeMap<Span, Histogram<u64>>,
-    // Holds the reader alive that the registry gathers from.
+    histograms: BTreeMap<Histogram, OtelHistogram<u64>>,
+    // Keeps the reader alive that the registry gathers from.
     _provider: SdkMeterProvider,
 }
 
 impl OtelMetrics {
-    /// Sets up every counter and gauge at zero.
+    /// Registers all instruments.
     pub(crate) fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -41,15 +43,15 @@
             .iter()
             .map(|gauge| (*gauge, meter.u64_gauge(gauge.as_str()).build()))
             .collect();
-        let spans = Span::ALL
+        let histograms = Histogram::ALL
             .iter()
-            .map(|span| (*span, meter.u64_histogram(span.as_str()).build()))
+            .map(|histogram| (*histogram, meter.u64_histogram(histogram.as_str()).build()))
             .collect();
         Ok(Self {
             registry,
             counters,
             gauges,
-            spans,
+            histograms,
             _provider: provider,
         })
     }
@@ -74,8 +76,8 @@
         }
     }
 
-    fn observe(&self, span: Span, reason: &'static str, elapsed_ms: u64) {
-        if let Some(instrument) = self.spans.get(&span) {
+    fn observe(&self, histogram: Histogram, reason: &'static str, elapsed_ms: u64) {
+        if let Some(instrument) = self.histograms.get(&histogram) {
             instrument.record(elapsed_ms, &[KeyValue::new("reason", reason)]);
         }
     }
@@ -84,7 +86,7 @@
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => String::from_utf8_lossy(&text).into_owned(),
-            Err(error) => format!("# metrics can't be shown: {error}\n"),
+            Err(error) => format!("# failed to encode metrics: {error}\n"),
         }
     }
 }
--- a/src/adapters/peer/h2_server.rs
+++ b/src/adapters/peer/h2_server.rs
@@ -1,15 +1,15 @@
-//! The answering side.
+//! h2 server for calls and sessions.
 
 use {
     super::{
         codec::encode,
-        counted_socket::counted,
-        frame_pump::{SessionEnds, run_session},
+        counted_socket::with_byte_counter,
+        frame_pump::{SessionChannels, run_session},
         frame_stream::{FrameReader, StreamError, send_all},
         h2_client::{
             CALL_PATH, CONNECTION_WINDOW_BYTES, MAX_STREAMS, SESSION_PATH, STREAM_WINDOW_BYTES,
         },
-        liveness::until_abandoned,
+        liveness::until_caller_unresponsive,
     },
     crate::{
         core::message::{HomeFrame, PeerReply, PeerRequest, RunnerFrame},
@@ -26,27 +26,25 @@
     },
 };
 
-/// A session as its runner sees it.
+/// Both directions of an open session, on the runner's side.
 #[derive(Debug)]
 pub(crate) struct RunnerSession {
-    /// Frames from the home; ends when the session is lost.
+    /// Frames from the home. Ends when the session disconnects.
     pub(crate) incoming: mpsc::Receiver<HomeFrame>,
-    /// Frames to the home; dropped to close the session.
+    /// Frames to the home. Dropping the sender closes the session.
     pub(crate) outgoing: mpsc::UnboundedSender<RunnerFrame>,
 }
 
-/// What a process does with its peers' requests.
+/// Handles the calls and sessions of peers.
 #[async_trait]
 pub(crate) trait PeerHandler: Debug + Send + Sync {
-    /// Answers one call.
-    async fn call(&self, request: PeerRequest) -> PeerReply;
+    async fn handle_call(&self, request: PeerRequest) -> PeerReply;
 
-    /// Takes a session; `false` if this process has no runner.
-    fn session(&self, session: RunnerSession) -> bool;
+    /// Accepts a session; false if this process has no runner.
+    fn accept_session(&self, session: RunnerSession) -> bool;
 }
 
-/// Frames held for a slow reader of a session.
-const SESSION_BUFFER_FRAMES: usize = 1_024;
+const MAX_BUFFERED_FRAMES: usize = 1_024;
 
 /// Serves peers until the task is dropped.
 pub(crate) async fn serve_peers(
@@ -61,7 +59,7 @@
                 tokio::spawn(serve_connection(socket, handler, metrics));
             }
             Err(error) => {
-                log::warn!(error:? = error; "accepting a peer failed");
+                log::warn!(error:? = error; "accepting a peer connection failed");
                 tokio::task::yield_now().await;
             }
         }
@@ -76,7 +74,7 @@
     if socket.set_nodelay(true).is_err() {
         return;
     }
-    let socket = counted(socket, metrics);
+    let socket = with_byte_counter(socket, metrics);
     let received = socket.observer().received();
     let handshake = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW_BYTES)
@@ -97,7 +95,7 @@
     };
     tokio::select! {
         () = accept => {}
-        _ = until_abandoned(pings, &received) => {}
+        _ = until_caller_unresponsive(pings, &received) => {}
     }
 }
 
@@ -106,7 +104,7 @@
     mut respond: SendResponse<Bytes>,
     handler: Arc<dyn PeerHandler>,
 ) {
-    // A stream that breaks has no one left to tell.
+    // If the stream failed, the error cannot be reported to the peer.
     let _ = match request.uri().path() {
         CALL_PATH => serve_call(request.into_body(), respond, handler).await,
         SESSION_PATH => serve_session(request.into_body(), respond, handler).await,
@@ -129,7 +127,7 @@
     handler: Arc<dyn PeerHandler>,
 ) -> Result<(), StreamError> {
     let request: PeerRequest = FrameReader::new(body).next().await?;
-    let reply = handler.call(request).await;
+    let reply = handler.handle_call(request).await;
     let mut stream = respond.send_response(status(StatusCode::OK), false)?;
     send_all(&mut stream, encode(&reply)?, true).await
 }
@@ -139,16 +137,16 @@
     mut respond: SendResponse<Bytes>,
     handler: Arc<dyn PeerHandler>,
 ) -> Result<(), StreamError> {
-    let (received, incoming) = mpsc::channel(SESSION_BUFFER_FRAMES);
+    let (received, incoming) = mpsc::channel(MAX_BUFFERED_FRAMES);
     let (outgoing, frames) = mpsc::unbounded_channel();
-    if !handler.session(RunnerSession { incoming, outgoing }) {
+    if !handler.accept_session(RunnerSession { incoming, outgoing }) {
         respond.send_response(status(StatusCode::NOT_FOUND), true)?;
         return Ok(());
     }
     let stream = respond.send_response(status(StatusCode::OK), false)?;
-    let ends = SessionEnds {
+    let channels = SessionChannels {
         outgoing: frames,
         received,
     };
-    run_session(body, stream, ends).await
+    run_session(body, stream, channels).await
 }
--- a/src/entry/tests/jobs.rs
+++ b/src/entry/tests/jobs.rs
@@ -63,7 +63,7 @@
         };
         match behaviour {
             Some(CallBehaviour::Reply(status)) => Ok(PeerReply::Job(status)),
-            Some(CallBehaviour::Lost) => Err(PeerError::Lost("cut".to_owned())),
+            Some(CallBehaviour::Lost) => Err(PeerError::OutcomeUnknown("cut".to_owned())),
             Some(CallBehaviour::NoReply) | None => std::future::pending().await,
         }
     }
