--- a/src/conf/section_texts.rs
+++ b/src/conf/section_texts.rs
@@ -1,4 +1,4 @@
-//! The text of each section, cut out and put together without touching a byte of it.
+//! Splits a document into its sections and merges sections without reformatting them.
 
 use {
     crate::core::config::SECTIONS,
@@ -6,19 +6,19 @@
     toml_edit::{Document, Item, Table},
 };
 
-/// Begins the line by which `show` says what a document was made from.
-const VERSION_MARK: &str = "# rattanslip version ";
+/// Prefix of the first line of a document printed by `show`; the version number follows.
+const VERSION_COMMENT_PREFIX: &str = "# rattanslip version ";
 
-/// A header with all that belongs to it: the comments above it and the fields below it.
+/// A table header with the comments above it and the fields below it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Chunk<'a> {
     section: &'static str,
     text: &'a str,
 }
 
-/// The version that a document says it was made from, and the document without that line.
-pub(crate) fn split_version_mark(text: &str) -> (Option<u64>, &str) {
-    let Some(rest) = text.strip_prefix(VERSION_MARK) else {
+/// Splits off the version comment; the document is unchanged if it has none.
+pub(crate) fn split_version_comment(text: &str) -> (Option<u64>, &str) {
+    let Some(rest) = text.strip_prefix(VERSION_COMMENT_PREFIX) else {
         return (None, text);
     };
     let (version, document) = rest.split_once('\n').unwrap_or((rest, ""));
@@ -28,12 +28,12 @@
     }
 }
 
-/// The document with the line that says what it was made from.
-pub(crate) fn with_version_mark(version: u64, text: &str) -> String {
-    format!("{VERSION_MARK}{version}\n{text}")
+/// Prepends the version comment to the document.
+pub(crate) fn with_version_comment(version: u64, text: &str) -> String {
+    format!("{VERSION_COMMENT_PREFIX}{version}\n{text}")
 }
 
-/// Each section's text.
+/// Text of each section, including its comments.
 pub(crate) fn section_texts(text: &str) -> BTreeMap<&'static str, String> {
     let mut texts = BTreeMap::new();
     for chunk in chunks(text) {
@@ -43,30 +43,33 @@
     texts
 }
 
-/// The document in force with some sections taken from another document.
+/// Replaces the `changed` sections of the current document by those of the draft.
 ///
-/// A section that is taken stands where it stood before, a new one at the end.
-pub(crate) fn merge_sections(current: &str, mine: &str, taken: &[&'static str]) -> String {
-    let mine = section_texts(mine);
+/// A replaced section stays in its position; a new one is appended.
+pub(crate) fn merge_sections(current: &str, draft: &str, changed: &[&'static str]) -> String {
+    let draft = section_texts(draft);
     let mut merged = String::with_capacity(current.len());
-    let mut placed: Vec<&str> = Vec::new();
+    let mut written: Vec<&str> = Vec::new();
     for chunk in chunks(current) {
-        if !taken.contains(&chunk.section) {
+        if !changed.contains(&chunk.section) {
             push_lines(&mut merged, chunk.text);
-        } else if !placed.contains(&chunk.section) {
-            placed.push(chunk.section);
-            push_lines(&mut merged, mine.get(chunk.section).map_or("", |text| text));
+        } else if !written.contains(&chunk.section) {
+            written.push(chunk.section);
+            push_lines(
+                &mut merged,
+                draft.get(chunk.section).map_or("", |text| text),
+            );
         }
     }
-    for section in taken {
-        if !placed.contains(section) {
-            push_lines(&mut merged, mine.get(section).map_or("", |text| text));
+    for section in changed {
+        if !written.contains(section) {
+            push_lines(&mut merged, draft.get(section).map_or("", |text| text));
         }
     }
     merged
 }
 
-/// Appends text that must begin on a line of its own.
+/// Appends text, on a new line.
 fn push_lines(merged: &mut String, text: &str) {
     if !merged.is_empty() && !merged.ends_with('\n') && !text.is_empty() {
         merged.push('\n');
@@ -74,7 +77,7 @@
     merged.push_str(text);
 }
 
-/// The document cut before the comments of each header; text that can't be parsed has none.
+/// Splits the document before the comments above each header; empty for text that can't be parsed.
 fn chunks(text: &str) -> Vec<Chunk<'_>> {
     let Ok(document) = Document::parse(text) else {
         return Vec::new();
@@ -82,7 +85,7 @@
     let mut headers = Vec::new();
     for section in SECTIONS {
         if let Some(item) = document.as_table().get(section) {
-            headers_of(item, section, &mut headers);
+            collect_headers(item, section, &mut headers);
         }
     }
     headers.sort_unstable();
@@ -91,7 +94,7 @@
         .enumerate()
         .map(|(index, (header, _))| match index {
             0 => 0,
-            _ => start_of_comments(text, *header),
+            _ => leading_comments_start(text, *header),
         })
         .collect();
     let ends = starts.iter().skip(1).copied().chain([text.len()]);
@@ -104,19 +107,19 @@
         .collect()
 }
 
-fn headers_of(item: &Item, section: &'static str, headers: &mut Vec<(usize, &'static str)>) {
+fn collect_headers(item: &Item, section: &'static str, headers: &mut Vec<(usize, &'static str)>) {
     match item {
-        Item::Table(table) => headers_of_table(table, section, headers),
+        Item::Table(table) => collect_table_headers(table, section, headers),
         Item::ArrayOfTables(tables) => {
             for table in tables {
-                headers_of_table(table, section, headers);
+                collect_table_headers(table, section, headers);
             }
         }
         Item::None | Item::Value(_) => {}
     }
 }
 
-fn headers_of_table(
+fn collect_table_headers(
     table: &Table,
     section: &'static str,
     headers: &mut Vec<(usize, &'static str)>,
@@ -128,12 +131,12 @@
         headers.push((span.start, section));
     }
     for (_, item) in table {
-        headers_of(item, section, headers);
+        collect_headers(item, section, headers);
     }
 }
 
-/// Where the comments just above a header begin; blank lines before them end the chunk before.
-fn start_of_comments(text: &str, header: usize) -> usize {
+/// Start of the comments above a header; blank lines before them belong to the previous chunk.
+fn leading_comments_start(text: &str, header: usize) -> usize {
     let mut position = header;
     let mut start = header;
     for line in text[..header].split_inclusive('\n').rev() {
--- a/src/conf/tests.rs
+++ b/src/conf/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of settings and of the configuration document.
+//! Tests of settings files and of the example documents.
 
 use super::{EntrySettings, TableReader, read_document};
 
@@ -10,14 +10,13 @@
 platform = "127.0.0.1:7000"
 "#;
 
-/// The deployments of today, as the examples give them.
 const EXAMPLES: [&str; 2] = [
     include_str!("../../examples/hafsteinsson.toml"),
     include_str!("../../examples/chikushi.toml"),
 ];
 
 #[test]
-fn the_examples_are_todays_deployments() {
+fn example_documents_are_valid() {
     for (text, zones) in EXAMPLES.into_iter().zip([4, 3]) {
         let document = read_document(text).expect("no faults");
         assert_eq!(document.zones.len(), zones);
@@ -64,25 +63,25 @@
 
 fault_cases! {
     read_entry;
-    entry_settings_with_defaults_are_taken: ENTRY => [];
-    all_faults_of_entry_settings_come_at_once:
+    entry_settings_with_defaults_are_valid: ENTRY => [];
+    all_faults_of_entry_settings_are_reported_together:
         ENTRY.replace("\"127.0.0.1:7000\"", "7000").replace("name = \"entry-1\"", "nmae = \"x\"")
         + "head_poll_ms = 1\n" => [
             "line 1: name: is required",
             "line 2: nmae: unknown field",
             "line 6: platform: must be a string",
-            "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
+            "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
             "line 7: head_poll_ms: must be a whole number from 50 to 2000",
         ];
-    host_names_are_refused: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
-        "line 6: platform: must be an IP number with a port, such as 127.0.0.1:7000",
+    host_names_are_rejected: ENTRY.replace("127.0.0.1:7000", "localhost:7000") => [
+        "line 6: platform: must be an IP address with a port, such as 127.0.0.1:7000",
     ];
 }
 
 fault_cases! {
     read_document;
-    small_document_is_taken: DOCUMENT => [];
-    syntax_error_has_its_line: DOCUMENT.replace("slots = 8", "slots = = 8") => [
+    minimal_document_is_valid: DOCUMENT => [];
+    syntax_error_reports_its_line: DOCUMENT.replace("slots = 8", "slots = = 8") => [
         "line 8: extra `=`, expected nothing",
     ];
     unknown_zone_of_a_worker: DOCUMENT.replace("zone = \"grindavik\"", "zone = \"grindavk\"") => [
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -131,11 +131,15 @@
     sleep_until(started_at + Duration::from_millis(args.zone_out_at_ms)).await;
     let evacuated_us = unix_us();
     let path = format!("/v1/zones/{zone}/out");
-    operator.json(Method::POST, &path, String::new()).await?;
+    operator
+        .request_json(Method::POST, &path, String::new())
+        .await?;
     sleep_until(started_at + Duration::from_millis(args.zone_in_at_ms)).await;
     let restored_us = unix_us();
     let path = format!("/v1/zones/{zone}/in");
-    operator.json(Method::POST, &path, String::new()).await?;
+    operator
+        .request_json(Method::POST, &path, String::new())
+        .await?;
     Ok((Some(evacuated_us), Some(restored_us)))
 }
 
