--- a/src/core/tests/simulation.rs
+++ b/src/core/tests/simulation.rs
@@ -801,12 +801,12 @@
                     ExecutionEvent::StartAnswered { call, response }
                 }
                 ExecutionAction::Stop(call) => {
-                    let is_addressed = call.worker == self.workers[worker].life.id;
+                    let is_addressed = call.worker == self.workers[worker].incarnation.id;
                     let confirmed = is_addressed && self.workers[worker].stop(&call);
                     ExecutionEvent::StopAnswered { call, confirmed }
                 }
                 ExecutionAction::Hold(call) => {
-                    let response = if call.worker == self.workers[worker].life.id {
+                    let response = if call.worker == self.workers[worker].incarnation.id {
                         self.workers[worker].hold(now, &call)
                     } else {
                         HoldResponse::OtherWorker
@@ -832,7 +832,7 @@
         worker: usize,
         call: &crate::core::execution::StartCall,
     ) -> StartResponse {
-        if call.worker != self.workers[worker].life.id {
+        if call.worker != self.workers[worker].incarnation.id {
             return StartResponse::Rejected;
         }
         let now = self.now;
@@ -871,7 +871,7 @@
             self.advance_worker(other);
             if other != worker
                 && self.worker_alive[other]
-                && self.workers[other].at_work().contains_key(&task)
+                && self.workers[other].active_runs().contains_key(&task)
             {
                 let what = format!("{task} runs twice, at workers {worker} and {other}");
                 self.report.report_violation(what);
@@ -899,7 +899,7 @@
         let model = &mut self.workers[worker];
         model.reports += 1;
         let view = WorkerView {
-            life: model.life.clone(),
+            life: model.incarnation.clone(),
             service: "shares".to_owned(),
             availability_zone: ZONES[worker % ZONES.len()].to_owned(),
             capacity: Resources {
@@ -931,7 +931,7 @@
         let born_unix_ms = self.now.as_micros() / 1_000;
         let old = &self.workers[worker];
         let id = if same_id {
-            old.life.id.clone()
+            old.incarnation.id.clone()
         } else {
             format!("w{worker}-{born_unix_ms}")
         };
@@ -944,7 +944,7 @@
 
     fn run_count_at(&self, worker: usize) -> usize {
         if self.worker_alive[worker] {
-            self.workers[worker].at_work().len()
+            self.workers[worker].active_runs().len()
         } else {
             0
         }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in over HTTP.
+//! HTTP stand-in for the platform's table and object store, with fault injection.
 
 use {
     super::platform_store::PlatformStore,
@@ -22,20 +22,20 @@
     tokio::time::sleep,
 };
 
-/// Faults that can be switched on by posting them to `/faults`.
+/// Injected faults, set by a POST to `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct PlatformFaults {
-    /// Every call is refused.
+    /// Reject every call.
     down: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every call.
     slow_ms: u64,
-    /// The replies of this many writes are lost after the writes took effect; entries' writes of
-    /// their own roster rows don't count, as they come at any time.
+    /// Number of writes to apply without sending a response; writes of roster rows are not
+    /// counted, because entries make them at any time.
     lose_write_replies: u32,
 }
 
-/// Calls since the start.
+/// Number of calls received since the process started.
 #[derive(Debug, Clone, Default, Serialize)]
 struct PlatformCalls {
     reads: u64,
@@ -43,32 +43,32 @@
 }
 
 #[derive(Debug, Default)]
-struct PlatformInner {
+struct PlatformState {
     store: PlatformStore,
     faults: PlatformFaults,
     calls: PlatformCalls,
 }
 
 #[derive(Debug, Default)]
-struct Platform(Mutex<PlatformInner>);
+struct Platform(Mutex<PlatformState>);
 
 type Shared<'a> = Data<&'a Arc<Platform>>;
 
 impl Platform {
-    fn lock(&self) -> MutexGuard<'_, PlatformInner> {
+    fn lock(&self) -> MutexGuard<'_, PlatformState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as the faults say; `Err` if the platform is down.
-    async fn begin(&self, is_write: bool) -> Result<(), Response> {
+    /// Counts a call and applies the faults; `Err` if the platform is down.
+    async fn begin_call(&self, is_write: bool) -> Result<(), Response> {
         let faults = {
-            let mut inner = self.lock();
+            let mut state = self.lock();
             if is_write {
-                inner.calls.writes += 1;
+                state.calls.writes += 1;
             } else {
-                inner.calls.reads += 1;
+                state.calls.reads += 1;
             }
-            inner.faults.clone()
+            state.faults.clone()
         };
         sleep(Duration::from_millis(faults.slow_ms)).await;
         if faults.down {
@@ -77,26 +77,26 @@
         Ok(())
     }
 
-    /// Whether the reply of the write just made is to be lost.
-    fn loses_reply(&self) -> bool {
-        let mut inner = self.lock();
-        if inner.faults.lose_write_replies == 0 {
+    /// Whether to drop the response to the current write; uses up one injected fault.
+    fn should_drop_response(&self) -> bool {
+        let mut state = self.lock();
+        if state.faults.lose_write_replies == 0 {
             return false;
         }
-        inner.faults.lose_write_replies -= 1;
+        state.faults.lose_write_replies -= 1;
         true
     }
 
-    /// The reply to a write, or none for good if a fault swallows it.
+    /// Returns the response to a write, or never completes if a fault drops it.
     async fn finish_write(&self, response: Response) -> Response {
-        if self.loses_reply() {
+        if self.should_drop_response() {
             std::future::pending::<()>().await;
         }
         response
     }
 }
 
-/// Runs the stand-in until SIGTERM.
+/// Runs the platform until SIGTERM.
 pub(crate) async fn run_platform(args: PlatformArgs) -> Result<(), RunError> {
     let routes = Route::new()
         .at("/table/rows/:key", get(get_row))
@@ -114,8 +114,8 @@
 
 #[handler]
 async fn get_row(platform: Shared<'_>, Path(key): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     match platform.lock().store.get(&key) {
         Some(row) => Json(row).into_response(),
@@ -125,8 +125,8 @@
 
 #[handler]
 async fn scan(platform: Shared<'_>, Path(prefix): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     let rows = platform.lock().store.scan(&prefix);
     Json(rows).into_response()
@@ -134,15 +134,15 @@
 
 #[handler]
 async fn transact(platform: Shared<'_>, Json(transaction): Json<Transaction>) -> Response {
-    if let Err(down) = platform.begin(true).await {
-        return down;
+    if let Err(response) = platform.begin_call(true).await {
+        return response;
     }
     let keys = transaction.puts.iter().map(|put| &put.key);
-    let is_roster =
+    let is_roster_write =
         !transaction.puts.is_empty() && keys.into_iter().all(|key| key.starts_with(ROSTER_PREFIX));
     let outcome = platform.lock().store.transact(transaction);
     let response = Json(outcome).into_response();
-    if is_roster {
+    if is_roster_write {
         return response;
     }
     platform.finish_write(response).await
@@ -150,8 +150,8 @@
 
 #[handler]
 async fn get_object(platform: Shared<'_>, Path(name): Path<String>) -> Response {
-    if let Err(down) = platform.begin(false).await {
-        return down;
+    if let Err(response) = platform.begin_call(false).await {
+        return response;
     }
     match platform.lock().store.object(&name) {
         Some(body) => body.clone().into_response(),
@@ -161,8 +161,8 @@
 
 #[handler]
 async fn put_object(platform: Shared<'_>, Path(name): Path<String>, body: String) -> Response {
-    if let Err(down) = platform.begin(true).await {
-        return down;
+    if let Err(response) = platform.begin_call(true).await {
+        return response;
     }
     platform.lock().store.put_object(name, body);
     platform.finish_write(StatusCode::OK.into_response()).await
--- a/src/standin/rows_model.rs
+++ b/src/standin/rows_model.rs
@@ -1,11 +1,11 @@
-//! The published table store, in memory.
+//! In-memory model of the platform's table store.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that the feed remembers.
-const HISTORY_CHANGES: usize = 1_000;
+/// Number of changes kept for the feed.
+const MAX_HISTORY_CHANGES: usize = 1_000;
 
-/// Names a row.
+/// Identifies a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RowName {
     pub(crate) table: String,
@@ -20,52 +20,53 @@
     pub(crate) version: u64,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Applied {
-    /// All of it was applied.
-    Yes,
-    /// A row had another version than expected.
-    No,
+pub(crate) enum ApplyOutcome {
+    /// All writes were applied.
+    Committed,
+    /// A row did not have the expected version; nothing was written.
+    Conflict,
 }
 
-/// What a feed says.
+/// Result of reading the change feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FeedPage {
-    /// Rows that changed, in order; a row that was removed has no value.
+    /// Changed rows in order of change; `None` for a removed row.
     Changes(Vec<(RowName, Option<StoredRow>)>),
-    /// What changed since is no longer known.
-    Forgotten,
+    /// The history no longer covers the requested version.
+    Truncated,
 }
 
-/// Rows, their versions and their newest changes.
+/// Rows with their versions and a bounded change history.
 #[derive(Debug, Default)]
 pub(crate) struct RowsModel {
     rows: BTreeMap<RowName, StoredRow>,
     version: u64,
     history: VecDeque<(u64, RowName)>,
-    forgotten: u64,
+    /// Version of the newest change that was dropped from the history.
+    truncated_version: u64,
 }
 
 impl RowsModel {
-    /// The newest version.
+    /// Version of the latest committed transaction.
     pub(crate) const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies all of a transaction, or nothing.
+    /// Applies a transaction atomically if all expected versions match.
     pub(crate) fn apply(
         &mut self,
         expected: &[(RowName, u64)],
         puts: Vec<(RowName, String)>,
         removed: Vec<RowName>,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         let version_of = |name: &RowName| self.rows.get(name).map_or(0, |row| row.version);
         if expected
             .iter()
             .any(|(name, version)| version_of(name) != *version)
         {
-            return Applied::No;
+            return ApplyOutcome::Conflict;
         }
         self.version += 1;
         for (name, value) in puts {
@@ -78,36 +79,36 @@
                 self.history.push_back((self.version, name));
             }
         }
-        while self.history.len() > HISTORY_CHANGES {
-            self.forget_oldest();
+        while self.history.len() > MAX_HISTORY_CHANGES {
+            self.drop_oldest_change();
         }
-        Applied::Yes
+        ApplyOutcome::Committed
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest_change(&mut self) {
         if let Some((version, _)) = self.history.pop_front() {
-            self.forgotten = version;
+            self.truncated_version = version;
         }
     }
 
-    /// Forgets all changes; the rows stay.
-    pub(crate) fn forget_history(&mut self) {
+    /// Drops the change history but keeps the rows.
+    pub(crate) fn clear_history(&mut self) {
         self.history.clear();
-        self.forgotten = self.version;
+        self.truncated_version = self.version;
     }
 
-    /// The rows of one part of a table, by key.
-    pub(crate) fn rows(&self, table: &str, part: &str) -> Vec<(RowName, StoredRow)> {
-        let of_part = |name: &RowName| name.table == table && name.part == part;
-        let rows = self.rows.iter().filter(|(name, _)| of_part(name));
+    /// Rows of one part of a table, sorted by key.
+    pub(crate) fn part_rows(&self, table: &str, part: &str) -> Vec<(RowName, StoredRow)> {
+        let is_in_part = |name: &RowName| name.table == table && name.part == part;
+        let rows = self.rows.iter().filter(|(name, _)| is_in_part(name));
         rows.map(|(name, row)| (name.clone(), row.clone()))
             .collect()
     }
 
-    /// What changed in a table after a version.
+    /// Changes to a table after a version.
     pub(crate) fn feed(&self, table: &str, after: u64) -> FeedPage {
-        if after < self.forgotten {
-            return FeedPage::Forgotten;
+        if after < self.truncated_version {
+            return FeedPage::Truncated;
         }
         let changed = self.history.iter();
         let changed = changed.filter(|(version, name)| *version > after && name.table == table);
