--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -16,7 +16,7 @@
 /// Files beside them.
 const CODE_FILES: [&str; 2] = ["Cargo.toml", "Cargo.lock"];
 
-fn top() -> &'static Path {
+fn repository_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
@@ -35,16 +35,21 @@
 }
 
 fn pages() -> Vec<PathBuf> {
-    let mut pages = files_below(&top().join("docs"));
-    pages.extend(["README.md", "CONTRIBUTING.md", "CHANGELOG.md"].map(|page| top().join(page)));
+    let mut pages = files_below(&repository_root().join("docs"));
+    pages.extend(
+        ["README.md", "CONTRIBUTING.md", "CHANGELOG.md"].map(|page| repository_root().join(page)),
+    );
     pages.retain(|page| page.extension().is_some_and(|extension| extension == "md"));
     pages
 }
 
 fn code() -> String {
-    let mut files: Vec<PathBuf> = CODE_FILES.iter().map(|file| top().join(file)).collect();
+    let mut files: Vec<PathBuf> = CODE_FILES
+        .iter()
+        .map(|file| repository_root().join(file))
+        .collect();
     for folder in CODE_FOLDERS {
-        files.extend(files_below(&top().join(folder)));
+        files.extend(files_below(&repository_root().join(folder)));
     }
     let texts = files
         .iter()
@@ -53,7 +58,7 @@
 }
 
 /// The words of the code: what stands between characters that no name contains.
-fn words(text: &str) -> BTreeSet<&str> {
+fn identifiers(text: &str) -> BTreeSet<&str> {
     text.split(|c: char| !c.is_alphanumeric() && c != '_')
         .collect()
 }
@@ -90,34 +95,34 @@
         "cli/",
         "standin/",
     ];
-    let begins = |prefix: &str| name.starts_with(prefix);
+    let has_prefix = |prefix: &str| name.starts_with(prefix);
     name.bytes()
         .all(|byte| byte.is_ascii_alphanumeric() || b"/._-".contains(&byte))
         && (["src/", "tests/", "scripts/", "docs/", "examples/"]
             .into_iter()
-            .any(begins)
-            || folders.into_iter().any(begins))
+            .any(has_prefix)
+            || folders.into_iter().any(has_prefix))
 }
 
 fn exists(path: &str) -> bool {
-    top().join(path).exists() || top().join("src").join(path).exists()
+    repository_root().join(path).exists() || repository_root().join("src").join(path).exists()
 }
 
 /// Whether a test is named `module::function`, with the file's or folder's name in front.
-fn test_exists(name: &str, words: &BTreeSet<&str>) -> bool {
+fn test_exists(name: &str, identifiers: &BTreeSet<&str>) -> bool {
     let function = name.rsplit("::").next().expect("function");
-    words.contains(function)
+    identifiers.contains(function)
 }
 
 /// What is wrong with one name on a page, if anything.
-fn fault(name: &str, code: &str, words: &BTreeSet<&str>) -> Option<&'static str> {
+fn fault(name: &str, code: &str, identifiers: &BTreeSet<&str>) -> Option<&'static str> {
     if let Some(flag) = name
         .split(' ')
         .next()
         .and_then(|name| name.strip_prefix("--"))
     {
         let field = flag.replace('-', "_");
-        let known = words.contains(field.as_str()) || code.contains(&format!("--{flag}"));
+        let known = identifiers.contains(field.as_str()) || code.contains(&format!("--{flag}"));
         return (!known).then_some("no such flag");
     }
     if is_path(name) {
@@ -129,7 +134,7 @@
                 .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'_')
         })
     {
-        return (!test_exists(name, words)).then_some("no such test");
+        return (!test_exists(name, identifiers)).then_some("no such test");
     }
     if let Some(metric) = name.strip_prefix("rattanslip_") {
         // Prometheus adds the suffix to counters, and dots become underscores.
@@ -138,7 +143,7 @@
         return (!known).then_some("no such metric");
     }
     if is_snake_case(name) {
-        return (!words.contains(name)).then_some("no such name in the code");
+        return (!identifiers.contains(name)).then_some("no such name in the code");
     }
     if name.starts_with("rattanslip-") && !name.contains(' ') {
         let bare = name.split(':').next().unwrap_or(name);
@@ -149,14 +154,14 @@
 }
 
 #[test]
-fn what_the_pages_name_exists() {
+fn names_in_the_pages_exist() {
     let code = code();
-    let words = words(&code);
+    let identifiers = identifiers(&code);
     let mut faults = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("page");
         for name in inline_code(&text) {
-            if let Some(fault) = fault(name, &code, &words) {
+            if let Some(fault) = fault(name, &code, &identifiers) {
                 faults.push(format!("{}: `{name}`: {fault}", page.display()));
             }
         }
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     let mut faults = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("page");
--- a/tests/processes/path.rs
+++ b/tests/processes/client_requests.rs
@@ -3,15 +3,15 @@
 use super::support::{Deployment, Layout, SERVICE, get, job_body, request};
 
 #[tokio::test]
-async fn a_job_is_answered_whole_and_each_task_starts_once() {
+async fn a_job_returns_all_outputs_and_each_task_starts_once() {
     let deployment = Deployment::start(Layout::default()).await;
     let ticket = deployment.ticket(0).await;
     let reply = deployment
         .submit(0, &ticket, &job_body(40, 20, 10_000))
         .await;
     assert_eq!((reply.status.as_u16(), reply.verdict()), (200, "done"));
-    let wanted: Vec<String> = (0..40).map(|index| format!("share {index}")).collect();
-    assert_eq!(reply.outputs(), wanted);
+    let expected: Vec<String> = (0..40).map(|index| format!("share {index}")).collect();
+    assert_eq!(reply.outputs(), expected);
     assert_eq!(deployment.assert_no_double_start().await, 40);
 
     let again = deployment
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_single_request_returns_the_output_as_it_is() {
+async fn a_single_request_returns_the_raw_output() {
     let deployment = Deployment::start(Layout::default()).await;
     let path = format!("/v1/requests/{SERVICE}?repeatable=true");
     let reply = request("POST", deployment.entry_addrs[0], &path, &[], "5 one share").await;
@@ -51,7 +51,7 @@
 
 /// Bad requests and what each must be answered with; none may start anything.
 #[tokio::test]
-async fn bad_requests_get_a_typed_refusal_and_start_nothing() {
+async fn bad_requests_are_rejected_with_a_reason_and_start_nothing() {
     let layout = Layout {
         entry_settings: "max_body_bytes = 20000".to_owned(),
         ..Layout::default()
--- a/tests/processes/once.rs
+++ b/tests/processes/exactly_once.rs
@@ -10,7 +10,7 @@
 };
 
 /// Generous: what is measured stands in docs/design/once.md.
-const LIMIT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn submit_in_background(entry: SocketAddr, ticket: &str, body: &str) -> JoinHandle<Option<Reply>> {
     let (ticket, body) = (ticket.to_owned(), body.to_owned());
@@ -22,7 +22,7 @@
     })
 }
 
-fn submit_by_key(entry: SocketAddr, key: &str, body: &str) -> JoinHandle<Reply> {
+fn submit_with_key(entry: SocketAddr, key: &str, body: &str) -> JoinHandle<Reply> {
     let (key, body) = (key.to_owned(), body.to_owned());
     tokio::spawn(async move {
         let headers = [("idempotency-key", key.as_str())];
@@ -31,8 +31,8 @@
 }
 
 async fn wait_for_starts(deployment: &Deployment, count: usize) {
-    eventually("tasks have started", LIMIT, || async {
-        deployment.starts().await.len() >= count
+    eventually("tasks have started", WAIT_TIMEOUT, || async {
+        deployment.start_counts().await.len() >= count
     })
     .await;
 }
@@ -51,13 +51,13 @@
     found.unwrap_or_else(|| panic!("no home runs {ticket}: {}", status.body))
 }
 
-fn wanted(tasks: usize) -> Vec<String> {
+fn expected_outputs(tasks: usize) -> Vec<String> {
     (0..tasks).map(|index| format!("share {index}")).collect()
 }
 
-fn assert_whole(reply: &Reply, tasks: usize) {
+fn assert_complete(reply: &Reply, tasks: usize) {
     assert_eq!(reply.verdict(), "done", "{}", reply.body);
-    assert_eq!(reply.outputs(), wanted(tasks));
+    assert_eq!(reply.outputs(), expected_outputs(tasks));
 }
 
 /// A skipper's office loses patience and sends its job again through another entry in the same
@@ -72,7 +72,7 @@
         let second = submit_in_background(deployment.entry_addrs[1], &ticket, &body);
         let first = first.await.expect("first").expect("reply");
         let second = second.await.expect("second").expect("reply");
-        assert_whole(&first, 20);
+        assert_complete(&first, 20);
         assert_eq!(first.body, second.body);
     }
     assert_eq!(deployment.assert_no_double_start().await, 100);
@@ -81,7 +81,7 @@
 /// An entry is killed in the middle of a job. Its client sees a broken connection, asks through
 /// another entry with the same ticket, and gets the whole answer of the one run.
 #[tokio::test]
-async fn an_entry_killed_in_the_middle_of_a_job_costs_no_answer() {
+async fn a_job_survives_the_kill_of_its_entry() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let body = job_body(12, 1_500, 30_000);
     let ticket = deployment.ticket(0).await;
@@ -90,14 +90,14 @@
     deployment.entries[0].kill();
     assert!(first.await.expect("first").is_none());
     let reply = deployment.submit(1, &ticket, &body).await;
-    assert_whole(&reply, 12);
+    assert_complete(&reply, 12);
     assert_eq!(deployment.assert_no_double_start().await, 12);
 }
 
 /// A home is killed in the middle of a job and its agent replaced. Nobody can know how far it
 /// got: the client is told "may have run", now and at every later try, and nothing starts again.
 #[tokio::test]
-async fn a_killed_home_means_may_have_run_and_nothing_starts_again() {
+async fn tasks_of_a_killed_home_may_have_run_and_are_not_restarted() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let body = job_body(3, 2_000, 20_000);
     let ticket = deployment.ticket(0).await;
@@ -109,13 +109,13 @@
     assert_eq!(first.verdict(), "may-have-run", "{}", first.body);
     // The killed agent's backend server goes on and is announced to the agent that follows.
     let replacement = deployment.start_worker(home);
-    let lost = std::mem::replace(&mut deployment.workers[home], replacement);
+    let replaced = std::mem::replace(&mut deployment.workers[home], replacement);
     deployment.wait_for_workers(3).await;
     for entry in [0, 1] {
         let reply = deployment.submit(entry, &ticket, &body).await;
         assert_eq!(reply.verdict(), "may-have-run", "{}", reply.body);
     }
-    deployment.workers.push(lost);
+    deployment.workers.push(replaced);
     assert_eq!(deployment.assert_no_double_start().await, 3);
 }
 
@@ -123,7 +123,7 @@
 /// honest "may have run" with a time to come back; when the home is back, the same ticket gets
 /// the whole answer, and no task was started a second time.
 #[tokio::test]
-async fn a_home_paused_for_ten_seconds_answers_when_it_is_back() {
+async fn a_paused_home_returns_the_outcome_after_it_resumes() {
     let deployment = Deployment::start(Layout::default()).await;
     let body = job_body(9, 1_000, 60_000);
     let ticket = deployment.ticket(0).await;
@@ -139,17 +139,22 @@
     assert_ne!(reply.header("rattanslip-retry-after-ms"), "");
     tokio::time::sleep(Duration::from_secs(10)).await;
     deployment.workers[home].agent.resume();
-    let again = answered(&deployment, 1, &ticket, &body).await;
+    let again = submit_until_home_is_reachable(&deployment, 1, &ticket, &body).await;
     deployment.assert_no_double_start().await;
     if again.verdict() == "done" {
-        assert_eq!(again.outputs(), wanted(9));
+        assert_eq!(again.outputs(), expected_outputs(9));
     } else {
         panic!("{}", again.body);
     }
 }
 
 /// Submits again as the verdict asks for, until the home can be reached.
-async fn answered(deployment: &Deployment, entry: usize, ticket: &str, body: &str) -> Reply {
+async fn submit_until_home_is_reachable(
+    deployment: &Deployment,
+    entry: usize,
+    ticket: &str,
+    body: &str,
+) -> Reply {
     for _ in 0..20 {
         let reply = deployment.submit(entry, ticket, body).await;
         if reply.reason() != "home_unreachable" {
@@ -194,7 +199,7 @@
 /// closed, new connections work. Without pings the job would hang until its deadline. The home
 /// opens a new session, asks what became of its tasks, and the answer is whole.
 #[tokio::test]
-async fn a_silent_connection_between_home_and_runner_costs_nothing() {
+async fn a_blackholed_connection_between_home_and_runner_is_replaced() {
     let listen = free_addr();
     let proxy = Proxy::start(listen).await;
     let layout = Layout {
@@ -207,14 +212,14 @@
     for _ in 0..6 {
         let ticket = deployment.ticket(0).await;
         let body = job_body(10, 400, 20_000);
-        let before = deployment.starts().await.len();
+        let before = deployment.start_counts().await.len();
         let first = submit_in_background(deployment.entry_addrs[0], &ticket, &body);
         wait_for_starts(&deployment, before + 6).await;
-        proxy.go_silent();
+        proxy.blackhole_open_connections();
         let started_at = std::time::Instant::now();
         let reply = first.await.expect("first").expect("reply");
         println!("answered {:?} after the silence", started_at.elapsed());
-        assert_whole(&reply, 10);
+        assert_complete(&reply, 10);
     }
     assert_eq!(deployment.assert_no_double_start().await, 60);
 }
@@ -222,7 +227,7 @@
 /// The same between an entry and a home: the entry's call waits on a connection that is gone. It
 /// must find out, call again under the same ticket, and hand on the answer of the one run.
 #[tokio::test]
-async fn a_silent_connection_between_entry_and_home_costs_nothing() {
+async fn a_blackholed_connection_between_entry_and_home_is_replaced() {
     let listen = free_addr();
     let proxy = Proxy::start(listen).await;
     let layout = Layout {
@@ -236,11 +241,11 @@
         let body = job_body(4, 300, 20_000);
         let first = submit_in_background(deployment.entry_addrs[0], &ticket, &body);
         wait_for_starts(&deployment, 4 * round).await;
-        proxy.go_silent();
+        proxy.blackhole_open_connections();
         let started_at = std::time::Instant::now();
         let reply = first.await.expect("first").expect("reply");
         println!("answered {:?} after the silence", started_at.elapsed());
-        assert_whole(&reply, 4);
+        assert_complete(&reply, 4);
     }
     assert_eq!(deployment.assert_no_double_start().await, 16);
 }
@@ -248,21 +253,21 @@
 /// A client sends its own key, the platform's write takes effect and its reply is lost, while the
 /// same key comes in through another entry. Both must end at one ticket and one run.
 #[tokio::test]
-async fn a_lost_reply_of_a_claim_and_a_race_for_it_run_once() {
+async fn a_lost_claim_reply_and_a_concurrent_claim_run_the_job_once() {
     let deployment = Deployment::start(Layout::default()).await;
     let body = job_body(3, 50, 20_000);
     let [one, two] = [deployment.entry_addrs[0], deployment.entry_addrs[1]];
     for round in 0..4 {
         deployment
-            .platform_faults(r#"{"lose_write_replies": 1}"#)
+            .set_platform_faults(r#"{"lose_write_replies": 1}"#)
             .await;
         let key = format!("landing {round}");
         let (first, second) = (
-            submit_by_key(one, &key, &body),
-            submit_by_key(two, &key, &body),
+            submit_with_key(one, &key, &body),
+            submit_with_key(two, &key, &body),
         );
         let (first, second) = (first.await.expect("first"), second.await.expect("second"));
-        assert_whole(&first, 3);
+        assert_complete(&first, 3);
         assert_eq!(first.body, second.body);
     }
     assert_eq!(deployment.assert_no_double_start().await, 12);
@@ -272,22 +277,22 @@
 /// back: nobody can read whether the key was used before, so the answer is not "not run". One
 /// with a ticket is served as ever, and so is a key that this entry has bound or found before.
 #[tokio::test]
-async fn with_the_platform_down_keys_wait_and_tickets_go_on() {
+async fn a_platform_outage_defers_fresh_keys_but_not_tickets() {
     let deployment = Deployment::start(Layout::default()).await;
     let body = job_body(2, 10, 10_000);
     let ticket = deployment.ticket(0).await;
-    deployment.platform_faults(r#"{"down": true}"#).await;
+    deployment.set_platform_faults(r#"{"down": true}"#).await;
     let entry = deployment.entry_addrs[0];
-    let reply = submit_by_key(entry, "fresh", &body).await.expect("reply");
+    let reply = submit_with_key(entry, "fresh", &body).await.expect("reply");
     assert_eq!(
         (reply.status.as_u16(), reply.verdict(), reply.reason()),
         (503, "may-have-run", "store_unavailable")
     );
     assert_ne!(reply.header("rattanslip-retry-after-ms"), "");
-    assert_whole(&deployment.submit(0, &ticket, &body).await, 2);
-    deployment.platform_faults("{}").await;
-    let reply = submit_by_key(entry, "fresh", &body).await.expect("reply");
-    assert_whole(&reply, 2);
+    assert_complete(&deployment.submit(0, &ticket, &body).await, 2);
+    deployment.set_platform_faults("{}").await;
+    let reply = submit_with_key(entry, "fresh", &body).await.expect("reply");
+    assert_complete(&reply, 2);
     assert_eq!(deployment.assert_no_double_start().await, 4);
 }
 
@@ -295,20 +300,28 @@
 /// entry while the platform is down. "Not run" would be false, and the bank would pay by another
 /// way; the first entry still knows the key and gives the answer.
 #[tokio::test]
-async fn a_key_that_ran_is_never_called_not_run() {
+async fn a_key_that_ran_is_never_reported_as_not_run() {
     let deployment = Deployment::start(Layout::default()).await;
     let body = job_body(2, 10, 10_000);
     let [one, two] = [deployment.entry_addrs[0], deployment.entry_addrs[1]];
-    let first = submit_by_key(one, "landing 7", &body).await.expect("reply");
-    assert_whole(&first, 2);
-    deployment.platform_faults(r#"{"down": true}"#).await;
-    let elsewhere = submit_by_key(two, "landing 7", &body).await.expect("reply");
+    let first = submit_with_key(one, "landing 7", &body)
+        .await
+        .expect("reply");
+    assert_complete(&first, 2);
+    deployment.set_platform_faults(r#"{"down": true}"#).await;
+    let elsewhere = submit_with_key(two, "landing 7", &body)
+        .await
+        .expect("reply");
     assert_eq!(elsewhere.verdict(), "may-have-run", "{}", elsewhere.body);
     assert_ne!(elsewhere.header("rattanslip-retry-after-ms"), "");
-    let again = submit_by_key(one, "landing 7", &body).await.expect("reply");
+    let again = submit_with_key(one, "landing 7", &body)
+        .await
+        .expect("reply");
     assert_eq!(again.body, first.body);
-    deployment.platform_faults("{}").await;
-    let elsewhere = submit_by_key(two, "landing 7", &body).await.expect("reply");
+    deployment.set_platform_faults("{}").await;
+    let elsewhere = submit_with_key(two, "landing 7", &body)
+        .await
+        .expect("reply");
     assert_eq!(elsewhere.body, first.body);
     assert_eq!(deployment.assert_no_double_start().await, 2);
 }
@@ -316,16 +329,18 @@
 /// A job has run and its answer was lost. Before the client asks again, operators take the service
 /// out of the configuration. "Unknown service, not run" would be false for this job.
 #[tokio::test]
-async fn a_resubmission_after_its_service_has_gone_gets_its_answer() {
+async fn a_resubmission_after_removal_of_its_service_returns_the_outcome() {
     let deployment = Deployment::start(Layout::default()).await;
     let body = job_body(3, 10, 10_000);
     let ticket = deployment.ticket(0).await;
     let first = deployment.submit(0, &ticket, &body).await;
-    assert_whole(&first, 3);
+    assert_complete(&first, 3);
     let document = deployment.document();
     let without = document.split("[services.").next().expect("document");
     let apply = serde_json::json!({ "text": without, "based_on": 1 }).to_string();
-    let applied = deployment.operate(0, "POST", "/v1/config", &apply).await;
+    let applied = deployment
+        .operator_request(0, "POST", "/v1/config", &apply)
+        .await;
     assert_eq!(applied.status, 200, "{}", applied.body);
     let again = deployment.submit(0, &ticket, &body).await;
     assert_eq!(again.body, first.body);
@@ -340,7 +355,7 @@
 /// One of 200 shares can't be reckoned. The whole job fails at once, with the truth for each
 /// task, and those that had not started never do.
 #[tokio::test]
-async fn one_failing_task_of_200_fails_the_job_at_once_with_the_truth_for_each() {
+async fn one_failing_task_of_200_fails_the_job_and_reports_each_task_outcome() {
     let deployment = Deployment::start(Layout::default()).await;
     let mut job: serde_json::Value =
         serde_json::from_str(&job_body(200, 10_000, 60_000)).expect("job");
@@ -370,7 +385,7 @@
 /// and every cancellation gets its final answer at once. The queue is longer than its deadline
 /// allows, so the last jobs may already have been refused as overloaded: that must be as final.
 #[tokio::test]
-async fn a_wave_of_a_thousand_cancellations_starts_nothing_more() {
+async fn a_thousand_cancellations_stop_all_queued_tasks() {
     let deployment = Deployment::start(Layout::default()).await;
     let entry = deployment.entry_addrs[0];
     let body = job_body(1, 3_000, 60_000);
@@ -431,12 +446,12 @@
     assert!(not_run > 800, "{not_run}");
     let fresh = deployment.ticket(1).await;
     let reply = deployment.submit(1, &fresh, &job_body(4, 10, 20_000)).await;
-    assert_whole(&reply, 4);
+    assert_complete(&reply, 4);
 }
 
 /// A client's single request that must not be repeated is sent twice by the balancer.
 #[tokio::test]
-async fn a_post_doubled_by_the_balancer_runs_once() {
+async fn a_request_duplicated_by_the_balancer_runs_once() {
     let deployment = Deployment::start(Layout::default()).await;
     let path = format!("/v1/requests/{SERVICE}");
     let ticket = deployment.ticket(0).await;
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -5,12 +5,12 @@
     reason = "a test that can't be set up must fail loudly"
 )]
 
+mod client_requests;
 mod config;
+mod exactly_once;
 mod gate;
 mod membership;
-mod once;
 mod operators;
-mod path;
 mod planned_stop;
 mod policy;
 mod programs;
--- a/tests/processes/membership.rs
+++ b/tests/processes/membership.rs
@@ -10,45 +10,45 @@
 /// The worker that leaves.
 const WORKER: usize = 1;
 /// Time after leaving from which it may get no new work, in milliseconds.
-const LAST_START_MS: u64 = 7_000;
+const MAX_START_DELAY_MS: u64 = 7_000;
 /// For how long the load goes on after that.
-const WATCH_MS: u64 = 1_500;
+const OBSERVATION_MS: u64 = 1_500;
 /// Room for anything that should take a few seconds.
-const LIMIT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A way in which a worker leaves, and comes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Departure {
     Signal,
-    OwnWord,
+    Leaving,
     Configuration,
-    Silence,
+    Unresponsive,
     Kill,
 }
 
-impl Way {
+impl Departure {
     async fn leave(self, deployment: &mut Deployment) {
         match self {
             Self::Signal => deployment.workers[WORKER].agent.terminate(),
-            Self::OwnWord => {
+            Self::Leaving => {
                 let faults = r#"{"leaving": true}"#;
-                deployment.backend_faults(WORKER, faults).await;
+                deployment.set_backend_faults(WORKER, faults).await;
             }
             Self::Configuration => {
                 let text = deployment.document();
                 let text = without_worker(&text);
                 apply(deployment, &text).await;
             }
-            Self::Silence => {
+            Self::Unresponsive => {
                 deployment
-                    .backend_faults(WORKER, r#"{"silent": true}"#)
+                    .set_backend_faults(WORKER, r#"{"silent": true}"#)
                     .await
             }
             Self::Kill => deployment.workers[WORKER].agent.kill(),
         }
     }
 
-    async fn come_back(self, deployment: &mut Deployment) {
+    async fn rejoin(self, deployment: &mut Deployment) {
         match self {
             Self::Signal | Self::Kill => {
                 deployment.workers[WORKER] = deployment.start_worker(WORKER);
@@ -57,15 +57,21 @@
                 let text = deployment.document();
                 apply(deployment, &text).await;
             }
-            Self::OwnWord | Self::Silence => deployment.backend_faults(WORKER, "{}").await,
+            Self::Leaving | Self::Unresponsive => deployment.set_backend_faults(WORKER, "{}").await,
         }
     }
 }
 
 async fn apply(deployment: &Deployment, text: &str) {
-    let version = deployment.operate(0, "GET", "/v1/config", "").await.json()["version"].clone();
+    let version = deployment
+        .operator_request(0, "GET", "/v1/config", "")
+        .await
+        .json()["version"]
+        .clone();
     let body = json!({ "text": text, "based_on": version }).to_string();
-    let reply = deployment.operate(0, "POST", "/v1/config", &body).await;
+    let reply = deployment
+        .operator_request(0, "POST", "/v1/config", &body)
+        .await;
     assert_eq!(reply.status, 200, "{}", reply.body);
 }
 
@@ -77,63 +83,63 @@
 }
 
 /// Leaves, watches that no new work comes, comes back, and waits for work.
-async fn leaves_and_returns(way: Way) {
+async fn assert_no_work_until_rejoin(departure: Departure) {
     let mut deployment = Deployment::start(Layout::default()).await;
     let load = Load::start(&deployment, &[0, 1]);
-    eventually("the worker works", LIMIT, || async {
+    eventually("the worker works", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(WORKER).await > 0
     })
     .await;
     let left_ms = unix_ms();
-    way.leave(&mut deployment).await;
-    sleep(Duration::from_millis(LAST_START_MS + WATCH_MS)).await;
+    departure.leave(&mut deployment).await;
+    sleep(Duration::from_millis(MAX_START_DELAY_MS + OBSERVATION_MS)).await;
     let late_ms = deployment
         .last_start_ms(WORKER)
         .await
         .saturating_sub(left_ms);
-    println!("{way:?}: last start {late_ms} ms after leaving");
-    assert!(late_ms < LAST_START_MS, "{late_ms} ms");
+    println!("{departure:?}: last start {late_ms} ms after leaving");
+    assert!(late_ms < MAX_START_DELAY_MS, "{late_ms} ms");
 
-    let back_ms = unix_ms();
-    way.come_back(&mut deployment).await;
-    eventually("the worker works again", LIMIT, || async {
-        deployment.last_start_ms(WORKER).await > back_ms
+    let rejoined_ms = unix_ms();
+    departure.rejoin(&mut deployment).await;
+    eventually("the worker works again", WAIT_TIMEOUT, || async {
+        deployment.last_start_ms(WORKER).await > rejoined_ms
     })
     .await;
-    let first_ms = deployment.last_start_ms(WORKER).await - back_ms;
-    println!("{way:?}: work again at most {first_ms} ms after coming back");
+    let first_ms = deployment.last_start_ms(WORKER).await - rejoined_ms;
+    println!("{departure:?}: work again at most {first_ms} ms after coming back");
     load.stop().await;
 }
 
 /// Names each way and the story that it stands for.
-macro_rules! ways {
-    ($($(#[$doc:meta])* $name:ident: $way:expr;)+) => {$(
+macro_rules! departures {
+    ($($(#[$doc:meta])* $name:ident: $departure:expr;)+) => {$(
         $(#[$doc])*
         #[tokio::test]
         async fn $name() {
-            leaves_and_returns($way).await;
+            assert_no_work_until_rejoin($departure).await;
         }
     )+};
 }
 
-ways! {
+departures! {
     /// An operator stops the agent as planned. Work sent there afterwards would be refused one
     /// by one, so its leaving is pushed to an entry and passed on.
-    a_worker_that_leaves_by_signal_gets_no_new_work: Way::Signal;
+    a_worker_stopped_by_signal_gets_no_new_work: Departure::Signal;
     /// The backend server says that it leaves, while its agent stays.
-    a_worker_that_leaves_by_its_own_word_gets_no_new_work: Way::OwnWord;
+    a_worker_whose_backend_announces_leaving_gets_no_new_work: Departure::Leaving;
     /// The hardware team takes the worker out of the configuration; nobody tells its host.
-    a_worker_that_leaves_by_configuration_gets_no_new_work: Way::Configuration;
+    a_worker_removed_from_the_configuration_gets_no_new_work: Departure::Configuration;
     /// The backend server says nothing any more, though it would still run what it gets.
-    a_worker_that_leaves_by_silence_gets_no_new_work: Way::Silence;
+    a_worker_with_an_unresponsive_backend_gets_no_new_work: Departure::Unresponsive;
     /// The agent's process dies without a word.
-    a_worker_whose_agent_is_killed_gets_no_new_work: Way::Kill;
+    a_worker_whose_agent_is_killed_gets_no_new_work: Departure::Kill;
 }
 
 /// An entry is killed. Agents that announced to it turn to another one before their permits end,
 /// and work goes on without a gap; its successor at the same address takes its place.
 #[tokio::test]
-async fn a_killed_entry_stops_nothing_and_its_successor_takes_its_place() {
+async fn a_killed_entry_interrupts_no_work_and_can_be_replaced() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let load = Load::start(&deployment, &[0]);
     deployment.entries[1].kill();
@@ -146,7 +152,7 @@
     let (client, peer) = (deployment.entry_addrs[1], deployment.entry_peers[1]);
     deployment.entries[1] = deployment.start_entry(1, client, peer);
     deployment.wait_for_workers(3).await;
-    eventually("one row for each entry", LIMIT, || async {
+    eventually("one row for each entry", WAIT_TIMEOUT, || async {
         deployment.roster().await == ["entry-0", "entry-1"]
     })
     .await;
@@ -156,7 +162,7 @@
 /// An entry's host is lost for good. Its row goes once it can't grant permits any more; an entry
 /// that stops as planned takes its row along at once.
 #[tokio::test]
-async fn entries_that_go_leave_the_roster() {
+async fn stopped_and_lost_entries_are_removed_from_the_roster() {
     let layout = Layout {
         entries: 3,
         entry_settings: "outage_limit_ms = 10000".to_owned(),
@@ -166,10 +172,10 @@
     let killed_ms = unix_ms();
     deployment.entries[2].kill();
     deployment.entries[1].terminate();
-    let status = deployment.entries[1].wait(LIMIT).await;
+    let status = deployment.entries[1].wait(WAIT_TIMEOUT).await;
     assert!(status.success(), "{status}");
     assert!(!deployment.roster().await.contains(&"entry-1".to_owned()));
-    eventually("the lost entry's row is gone", LIMIT, || async {
+    eventually("the lost entry's row is gone", WAIT_TIMEOUT, || async {
         deployment.roster().await == ["entry-0"]
     })
     .await;
@@ -178,17 +184,17 @@
         unix_ms() - killed_ms
     );
     // Its last beat was written up to two seconds before it was killed.
-    let gone_after_ms = unix_ms() - killed_ms;
+    let removed_after_ms = unix_ms() - killed_ms;
     assert!(
-        gone_after_ms >= 7_500,
-        "it might still have granted permits: {gone_after_ms} ms"
+        removed_after_ms >= 7_500,
+        "it might still have granted permits: {removed_after_ms} ms"
     );
 }
 
 /// A rack loses power and comes back: three agents at once. The other workers go on, and those
 /// that return get work again.
 #[tokio::test]
-async fn a_rack_that_goes_at_once_and_returns_is_ordinary() {
+async fn a_rack_failure_interrupts_no_work_and_its_workers_rejoin() {
     let layout = Layout {
         workers: 6,
         ..Layout::default()
@@ -207,13 +213,16 @@
     for worker in 0..3 {
         deployment.workers[worker] = deployment.start_worker(worker);
     }
-    let back_ms = unix_ms();
+    let rejoined_ms = unix_ms();
     for worker in 0..3 {
-        eventually("a returned worker works", LIMIT, || async {
-            deployment.last_start_ms(worker).await > back_ms
+        eventually("a returned worker works", WAIT_TIMEOUT, || async {
+            deployment.last_start_ms(worker).await > rejoined_ms
         })
         .await;
     }
-    println!("a rack is back at work after {} ms", unix_ms() - back_ms);
+    println!(
+        "a rack is back at work after {} ms",
+        unix_ms() - rejoined_ms
+    );
     load.stop().await;
 }
--- a/tests/processes/operators.rs
+++ b/tests/processes/operators.rs
@@ -92,7 +92,7 @@
 }
 
 /// A worker that has been ordered, in a rack that is not there yet.
-const ORDERED: &str = "[capacity.workers.w12]\navailability_zone = \"keflavik\"\nrack = \"r4\"\n\
+const ORDERED_WORKER: &str = "[capacity.workers.w12]\navailability_zone = \"keflavik\"\nrack = \"r4\"\n\
                        slots = 8\nmemory_mb = 131072\narrived = false\n";
 
 #[tokio::test]
@@ -109,20 +109,20 @@
         shell.expect(0, TOKEN, &["apply", &unchanged]),
         "unchanged: version 1\n"
     );
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
     assert!(
         shell
             .expect(0, TOKEN, &["check", &edited])
             .ends_with(": no faults\n")
     );
-    let words = "  worker w12 added: 8 slots, rack r4, availability zone keflavik, 131072 MB, not arrived\n";
+    let changes = "  worker w12 added: 8 slots, rack r4, availability zone keflavik, 131072 MB, not arrived\n";
     assert_eq!(
         shell.expect(0, TOKEN, &["diff", &edited]),
-        format!("against version 1:\n{words}")
+        format!("against version 1:\n{changes}")
     );
     assert_eq!(
         shell.expect(0, TOKEN, &["apply", &edited]),
-        format!("accepted as version 2\n{words}")
+        format!("accepted as version 2\n{changes}")
     );
     let listed = shell.expect(0, TOKEN, &["workers"]);
     let ordered = listed
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn zones_go_out_and_in_and_the_history_tells_who() {
+async fn zone_changes_are_recorded_in_the_history_with_their_author() {
     let deployment = deployment().await;
     let shell = Shell::of(&deployment, "zones");
     assert_eq!(
@@ -159,10 +159,10 @@
         "unchanged: version 2\n"
     );
     shell.expect(0, NIGHT_SHIFT, &["zone", "out", "grindavik"]);
-    let refused = shell.expect(2, NIGHT_SHIFT, &["zone", "out", "hafnarfjordur"]);
+    let rejected = shell.expect(2, NIGHT_SHIFT, &["zone", "out", "hafnarfjordur"]);
     assert!(
-        refused.contains("zones.hafnarfjordur.state: closes the last open availability zone"),
-        "{refused}"
+        rejected.contains("zones.hafnarfjordur.state: closes the last open availability zone"),
+        "{rejected}"
     );
     shell.expect(0, NIGHT_SHIFT, &["zone", "out", "--last", "hafnarfjordur"]);
     shell.expect(0, NIGHT_SHIFT, &["zone", "in", "keflavik"]);
@@ -189,7 +189,7 @@
 /// An operator's file is older than the last change of its section. The operator must hear who
 /// changed it, when and in which version, and be able to go back to that or the older one.
 #[tokio::test]
-async fn a_conflict_names_the_other_and_a_rollback_is_a_new_version() {
+async fn a_conflict_names_its_author_and_a_rollback_is_a_new_version() {
     let deployment = deployment().await;
     let shell = Shell::of(&deployment, "conflict");
     let shown = shell.expect(0, TOKEN, &["show"]);
@@ -199,25 +199,25 @@
         "[zones.grindavik]\nstate = \"out\"\n",
     );
     let stale = shell.file("stale.toml", &stale);
-    let told = shell.expect(4, TOKEN, &["apply", &stale]);
+    let error_output = shell.expect(4, TOKEN, &["apply", &stale]);
     assert!(
-        told.contains("section zones: changed by night-shift at 20"),
-        "{told}"
+        error_output.contains("section zones: changed by night-shift at 20"),
+        "{error_output}"
     );
     assert!(
-        told.contains("in version 2; your document was made from version 1"),
-        "{told}"
+        error_output.contains("in version 2; your document was made from version 1"),
+        "{error_output}"
     );
     let json = shell.run(TOKEN, &["--json", "apply", &stale]);
     let json: Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert_eq!(json["reason"], "conflict");
     assert_eq!(json["detail"]["conflicts"][0]["author"], NIGHT_SHIFT);
 
-    let without_version = shell.file("plain.toml", &stale_without_mark(&shown));
-    let told = shell.expect(4, TOKEN, &["apply", &without_version]);
+    let without_version = shell.file("plain.toml", &without_version_line(&shown));
+    let error_output = shell.expect(4, TOKEN, &["apply", &without_version]);
     assert!(
-        told.contains("say what it was made from: --based-on VERSION"),
-        "{told}"
+        error_output.contains("say what it was made from: --based-on VERSION"),
+        "{error_output}"
     );
 
     let first = shell.expect(0, TOKEN, &["show", "--version", "1"]);
@@ -229,7 +229,7 @@
     );
 }
 
-fn stale_without_mark(shown: &str) -> String {
+fn without_version_line(shown: &str) -> String {
     let (_, text) = shown.split_once('\n').expect("a first line");
     text.to_owned()
 }
@@ -245,14 +245,14 @@
     );
     let bad = shell.file("bad.toml", &bad);
     for command in ["check", "diff", "apply"] {
-        let told = shell.expect(2, TOKEN, &[command, &bad]);
+        let error_output = shell.expect(2, TOKEN, &[command, &bad]);
         assert!(
-            told.contains("slots: must be a whole number from 1 to 1024"),
-            "{told}"
+            error_output.contains("slots: must be a whole number from 1 to 1024"),
+            "{error_output}"
         );
         assert!(
-            told.contains("services.crew-share.prioritty: unknown field"),
-            "{told}"
+            error_output.contains("services.crew-share.prioritty: unknown field"),
+            "{error_output}"
         );
     }
     let json = shell.run(TOKEN, &["--json", "check", &bad]);
@@ -260,14 +260,17 @@
     assert_eq!(json["faults"][0]["section"], "capacity");
     assert!(json["faults"][0]["line"].as_u64() > Some(1));
     shell.expect(2, TOKEN, &["apply", "/no/such/file.toml"]);
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
     shell.expect(4, NIGHT_SHIFT, &["apply", &edited]);
     shell.expect(4, "nobody", &["diff", &edited]);
-    deployment.platform_faults(r#"{"down": true}"#).await;
-    let told = shell.expect(4, TOKEN, &["apply", &edited]);
-    assert!(told.contains("nothing was changed"), "{told}");
+    deployment.set_platform_faults(r#"{"down": true}"#).await;
+    let error_output = shell.expect(4, TOKEN, &["apply", &edited]);
+    assert!(
+        error_output.contains("nothing was changed"),
+        "{error_output}"
+    );
     shell.expect(3, TOKEN, &["--entry", "127.0.0.1:1", "show"]);
-    deployment.platform_faults("{}").await;
+    deployment.set_platform_faults("{}").await;
     eventually("the platform is back", Duration::from_secs(30), || async {
         let entry = deployment.entry_addrs[0];
         try_request("GET", entry, "/v1/config/history", &[], "")
@@ -282,14 +285,14 @@
 /// change was accepted, and the operator must not hear that it was or that it wasn't. Once the
 /// platform is back, the history tells, and applying the same file again changes nothing.
 #[tokio::test]
-async fn an_unknown_outcome_is_said_so_and_settled_by_applying_again() {
+async fn an_unknown_outcome_is_reported_and_resolved_by_applying_again() {
     let deployment = deployment().await;
     let shell = Shell::of(&deployment, "unknown");
     let shown = shell.expect(0, TOKEN, &["show"]);
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
     let before = head_row(&deployment).await;
     deployment
-        .platform_faults(r#"{"lose_write_replies": 2}"#)
+        .set_platform_faults(r#"{"lose_write_replies": 2}"#)
         .await;
     let applying = shell.start(TOKEN, &["apply", &edited]);
     // The object's reply is lost first, then the transaction's.
@@ -297,12 +300,15 @@
         head_row(&deployment).await != before
     })
     .await;
-    deployment.platform_faults(r#"{"down": true}"#).await;
+    deployment.set_platform_faults(r#"{"down": true}"#).await;
     let output = applying.wait_with_output().expect("output");
-    let told = String::from_utf8(output.stderr).expect("text");
-    assert_eq!(output.status.code(), Some(1), "{told}");
-    assert!(told.contains("version 2 may have been accepted"), "{told}");
-    deployment.platform_faults("{}").await;
+    let error_output = String::from_utf8(output.stderr).expect("text");
+    assert_eq!(output.status.code(), Some(1), "{error_output}");
+    assert!(
+        error_output.contains("version 2 may have been accepted"),
+        "{error_output}"
+    );
+    deployment.set_platform_faults("{}").await;
     assert_eq!(
         shell.expect(0, TOKEN, &["apply", &edited]),
         "unchanged: version 2\n"
--- a/tests/processes/planned_stop.rs
+++ b/tests/processes/planned_stop.rs
@@ -9,9 +9,9 @@
     tokio::task::JoinHandle,
 };
 
-const LIMIT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// The agents' `stop_limit_ms` in these tests, and some room for a busy machine.
-const STOP_LIMIT: Duration = Duration::from_secs(25);
+const STOP_TIMEOUT: Duration = Duration::from_secs(25);
 
 fn submit_in_background(entry: SocketAddr, ticket: &str, body: &str) -> JoinHandle<Reply> {
     let (ticket, body) = (ticket.to_owned(), body.to_owned());
@@ -24,8 +24,8 @@
 }
 
 async fn wait_for_starts(deployment: &Deployment, count: usize) {
-    eventually("tasks have started", LIMIT, || async {
-        deployment.starts().await.len() >= count
+    eventually("tasks have started", WAIT_TIMEOUT, || async {
+        deployment.start_counts().await.len() >= count
     })
     .await;
 }
@@ -35,7 +35,7 @@
     let started_at = Instant::now();
     let agent = &mut deployment.workers[number].agent;
     agent.terminate();
-    let status = agent.wait(STOP_LIMIT).await;
+    let status = agent.wait(STOP_TIMEOUT).await;
     println!("agent {number} stopped in {:?}", started_at.elapsed());
     assert!(status.success(), "{status}");
 }
@@ -56,7 +56,7 @@
 /// later through the other entry, and no task starts twice. A ticket that the leaving home had
 /// granted and nobody had used still works, once.
 #[tokio::test]
-async fn a_stopped_home_hands_its_jobs_and_tickets_to_a_successor() {
+async fn a_stopped_home_hands_over_its_jobs_and_tickets() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let body = job_body(30, 1_000, 60_000);
     let ticket = deployment.ticket(0).await;
@@ -94,7 +94,7 @@
 
 /// Homes are drained one after the other: records that were handed over once are handed over again.
 #[tokio::test]
-async fn records_survive_one_stop_after_another() {
+async fn records_survive_consecutive_planned_stops() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let body = job_body(6, 50, 20_000);
     let mut jobs = Vec::new();
@@ -134,7 +134,7 @@
 /// An entry is stopped while a client waits for a long job: the client still gets its answer on
 /// the connection it has, and then the entry is gone.
 #[tokio::test]
-async fn a_stopped_entry_answers_the_requests_it_has() {
+async fn a_stopped_entry_completes_its_pending_requests() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let body = job_body(12, 2_000, 60_000);
     let ticket = deployment.ticket(0).await;
@@ -143,7 +143,7 @@
     deployment.entries[0].terminate();
     let first = first.await.expect("first");
     assert_eq!(first.verdict(), "done", "{}", first.body);
-    let status = deployment.entries[0].wait(STOP_LIMIT).await;
+    let status = deployment.entries[0].wait(STOP_TIMEOUT).await;
     assert!(status.success(), "{status}");
     let again = deployment.submit(1, &ticket, &body).await;
     assert_eq!(again.body, first.body);
--- a/tests/processes/policy.rs
+++ b/tests/processes/policy.rs
@@ -8,7 +8,7 @@
 /// A client declares more memory than any worker has, or an accelerator where there is none. The
 /// job would wait for a worker that never comes; its client hears so at once, and nothing runs.
 #[tokio::test]
-async fn a_task_that_fits_on_no_worker_is_refused_at_once() {
+async fn a_task_that_fits_no_worker_is_rejected_immediately() {
     let deployment = Deployment::start(Layout::default()).await;
     for (need, amount) in [("memory_mb", 100_000_000), ("accelerators", 9)] {
         let mut job: Value = serde_json::from_str(&job_body(3, 10, 20_000)).expect("job");
@@ -30,9 +30,9 @@
 /// Ten times more comes than the workers can do. What can't be done in time is refused with a
 /// time to come back and starts nowhere; what is taken in is done.
 #[tokio::test]
-async fn what_can_not_be_done_in_time_is_refused_with_a_time_to_come_back() {
+async fn overload_is_rejected_with_a_retry_delay() {
     let deployment = Deployment::start(Layout::default()).await;
-    let mut answers = Vec::new();
+    let mut submissions = Vec::new();
     let body = job_body(8, 200, 1_500);
     for _ in 0..40 {
         let mut wave = Vec::new();
@@ -44,22 +44,22 @@
                 super::support::request("POST", entry, "/v1/jobs", &headers, &body).await
             }));
         }
-        answers.extend(wave);
+        submissions.extend(wave);
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    let (mut done, mut refused) = (0, 0);
-    for answer in answers {
-        let reply = answer.await.expect("answer");
+    let (mut done, mut rejected) = (0, 0);
+    for submission in submissions {
+        let reply = submission.await.expect("answer");
         if reply.verdict() == "done" {
             done += 1;
         } else if reply.reason() == "overloaded" {
             assert_eq!(reply.verdict(), "not-run", "{}", reply.body);
             assert_ne!(reply.header("rattanslip-retry-after-ms"), "");
-            refused += 1;
+            rejected += 1;
         }
     }
-    println!("{done} done, {refused} refused of 400");
-    assert!(done > 0 && refused > 0, "{done} done, {refused} refused");
+    println!("{done} done, {rejected} refused of 400");
+    assert!(done > 0 && rejected > 0, "{done} done, {rejected} refused");
     let started = deployment.assert_no_double_start().await;
-    assert!(started <= (400 - refused) * 8, "{started} started");
+    assert!(started <= (400 - rejected) * 8, "{started} started");
 }
--- a/tests/processes/programs.rs
+++ b/tests/processes/programs.rs
@@ -45,7 +45,7 @@
 /// A service is started with a settings file that has several faults. Its operator wants to see
 /// all of them at once, with line and field, and an exit code that says "settings".
 #[test]
-fn bad_settings_end_a_service_with_code_2_and_all_faults() {
+fn bad_settings_exit_with_code_2_and_list_all_faults() {
     let path = file(
         "bad-agent.toml",
         "worker = 7\nslots = 0\ncolour = \"red\"\n",
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn check_takes_the_examples() {
+fn check_accepts_the_examples() {
     for name in ["hafsteinsson", "chikushi"] {
         let path = format!("{}/examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
         let output = run(env!("CARGO_BIN_EXE_rattanslip"), &["check", &path]);
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn exit_codes_tell_refused_from_unreachable_and_logs_are_json() {
+async fn exit_codes_distinguish_rejected_from_unreachable_and_logs_are_json() {
     let layout = Layout {
         entry_settings: "log = { format = \"json\" }".to_owned(),
         ..Layout::default()
@@ -107,8 +107,8 @@
     };
     assert_eq!(zone_out("wrong-token").status.code(), Some(4));
     assert_eq!(zone_out(TOKEN).status.code(), Some(0));
-    let nobody = super::support::free_addr().to_string();
-    let unreachable = rattanslip(&["--entry", &nobody, "workers"]);
+    let unused_addr = super::support::free_addr().to_string();
+    let unreachable = rattanslip(&["--entry", &unused_addr, "workers"]);
     assert_eq!(unreachable.status.code(), Some(3));
     let log = deployment.log("entry-0");
     assert!(!log.is_empty());
--- a/tests/processes/site.rs
+++ b/tests/processes/site.rs
@@ -7,9 +7,9 @@
 };
 
 /// Tasks that were at work at two workers at once, or were begun anew before their end was told.
-fn begun_twice(site: &Site) -> Vec<String> {
+fn tasks_begun_twice(site: &Site) -> Vec<String> {
     let mut begun: BTreeMap<String, usize> = BTreeMap::new();
-    for (_, event, task) in site.runs() {
+    for (_, event, task) in site.run_events() {
         if event == "begin" {
             *begun.entry(task).or_default() += 1;
         }
@@ -22,7 +22,7 @@
 }
 
 /// Waits until an entry answers a job with success; before it has met an agent it refuses short ones.
-async fn serves(site: &Site, entry: usize) {
+async fn wait_until_serving(site: &Site, entry: usize) {
     let what = format!("entry {entry} serves");
     eventually(&what, Duration::from_secs(10), || async {
         let id = format!("{:016x}", rand::random::<u64>());
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_calm_site_answers_each_job_once() {
+async fn each_job_runs_once_without_faults() {
     let site = Site::start("calm", 2, 3).await;
     for number in 0..20_u32 {
         let id = format!("{number:016x}");
@@ -47,22 +47,25 @@
         );
     }
     let begun = site
-        .runs()
+        .run_events()
         .iter()
         .filter(|(_, event, _)| event == "begin")
         .count();
     assert_eq!(begun, 100);
-    assert_eq!(begun_twice(&site), Vec::<String>::new());
+    assert_eq!(tasks_begun_twice(&site), Vec::<String>::new());
 }
 
 #[tokio::test]
-async fn what_is_not_served_is_said_at_once() {
+async fn unsupported_requests_are_rejected_immediately() {
     let site = Site::start("refusals", 1, 1).await;
     let id = "00000000000000aa";
-    let mut kept = site_job(1, 30);
-    kept["best_effort"] = json!(false);
-    assert_eq!(site.submit(0, id, &kept).await.expect("reply").status, 503);
-    let entry = site.entries[0].clients;
+    let mut durable = site_job(1, 30);
+    durable["best_effort"] = json!(false);
+    assert_eq!(
+        site.submit(0, id, &durable).await.expect("reply").status,
+        503
+    );
+    let entry = site.entries[0].client_addr;
     let headers = [("host", "shares.example")];
     let status = async |method, path| {
         request(method, entry, path, &headers, "")
@@ -82,26 +85,27 @@
             .status,
         400
     );
-    assert!(site.runs().is_empty());
+    assert!(site.run_events().is_empty());
 }
 
 /// An operator adds and takes away a route. Clients of both entries see each change within seconds,
 /// also when the store forgets its history in between.
 #[tokio::test]
-async fn a_change_is_in_force_at_all_entries() {
+async fn a_route_change_comes_into_force_at_all_entries() {
     let site = Site::start("change", 2, 1).await;
     let mut config = site_config(5);
     config["routes"][0]["path_prefix"] = json!("/moved/");
-    site.store_faults(&json!({"forget_history": true})).await;
-    site.put("config", &config).await;
+    site.set_store_faults(&json!({"forget_history": true}))
+        .await;
+    site.put_operator_row("config", &config).await;
     for entry in &site.entries {
         eventually(
             "the new route is served",
             Duration::from_secs(5),
             || async {
                 let headers = [("host", "shares.example")];
-                let moved = request("GET", entry.clients, "/moved/", &headers, "").await;
-                let old = request("GET", entry.clients, "/shares/", &headers, "").await;
+                let moved = request("GET", entry.client_addr, "/moved/", &headers, "").await;
+                let old = request("GET", entry.client_addr, "/shares/", &headers, "").await;
                 (moved.status, old.status) == (http::StatusCode::OK, http::StatusCode::NOT_FOUND)
             },
         )
@@ -112,9 +116,9 @@
 /// An agent's process is killed while a job runs and starts again. The worker's runs lapse, the
 /// job's tasks start again, none of them while its first run is at work, and the client gets its answer.
 #[tokio::test]
-async fn a_killed_agent_costs_time_and_no_answer() {
+async fn a_job_completes_after_its_agent_is_killed() {
     let mut site = Site::start("agent", 1, 2).await;
-    let entry = site.entries[0].clients;
+    let entry = site.entries[0].client_addr;
     let submitting = tokio::spawn(submit_to(entry, "00000000000000b1", site_job(6, 900)));
     tokio::time::sleep(Duration::from_millis(400)).await;
     site.restart_agent(0);
@@ -130,52 +134,53 @@
 /// Two of three parts of the store in which entries are listed are away when an agent starts anew. It finds the
 /// entries all the same, and clients get their answers. With one list, in one part, it found none until the store was whole.
 #[tokio::test]
-async fn an_agent_finds_the_entries_while_parts_of_the_store_are_away() {
+async fn an_agent_finds_the_entries_while_store_parts_are_unavailable() {
     let mut site = Site::start("parts", 2, 1).await;
-    site.store_faults(&json!({"down_parts": ["0", "2"]})).await;
+    site.set_store_faults(&json!({"down_parts": ["0", "2"]}))
+        .await;
     site.restart_agent(0);
     for entry in 0..2 {
-        serves(&site, entry).await;
+        wait_until_serving(&site, entry).await;
     }
 }
 
 /// The list of entries loses an entry and has it again, as when its copies differ for a moment, while a job runs. The agent keeps
 /// the one session that it has; a second one used to tell the entry that nothing runs, and the job's tasks began twice.
 #[tokio::test]
-async fn an_entry_that_is_listed_anew_keeps_its_session() {
+async fn a_relisted_entry_keeps_its_session() {
     let site = Site::start("relisted", 1, 1).await;
-    serves(&site, 0).await;
-    let entry = site.entries[0].clients;
+    wait_until_serving(&site, 0).await;
+    let entry = site.entries[0].client_addr;
     let submitting = tokio::spawn(submit_to(entry, "00000000000000e1", site_job(3, 4_000)));
     for listed in [false, true] {
-        site.list_entry(0, listed).await;
+        site.set_entry_listed(0, listed).await;
         // Longer than an agent waits after a change before it reads the list.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
     let reply = submitting.await.expect("task").expect("reply");
     assert_eq!(reply.body, r#"{"state":"completed"}"#);
-    assert_eq!(begun_twice(&site), Vec::<String>::new());
-    let met = site.lines("agent-0").matches("entry_connected").count();
-    assert_eq!(met, 1);
+    assert_eq!(tasks_begun_twice(&site), Vec::<String>::new());
+    let connections = site.log("agent-0").matches("entry_connected").count();
+    assert_eq!(connections, 1);
 }
 
 /// The store turns an agent's host away when the agent starts anew. It begins with the entries that its settings name,
 /// and clients get their answers. Without them its worker stood idle until the store served it again.
 #[tokio::test]
-async fn an_agent_that_the_store_turns_away_begins_with_its_seeds() {
+async fn an_agent_rejected_by_the_store_connects_to_its_seeds() {
     let mut site = Site::start("seeds", 1, 1).await;
     site.set_seed(0, 0);
-    site.store_faults(&json!({"down": true})).await;
+    site.set_store_faults(&json!({"down": true})).await;
     site.restart_agent(0);
-    serves(&site, 0).await;
+    wait_until_serving(&site, 0).await;
 }
 
 /// The store falls silent for seconds. Jobs are answered as before, and the change that the
 /// operator made meanwhile is in force soon after the store's return.
 #[tokio::test]
-async fn work_goes_on_without_the_store() {
+async fn jobs_complete_during_a_store_outage() {
     let site = Site::start("store", 1, 2).await;
-    site.store_faults(&json!({"silent": true})).await;
+    site.set_store_faults(&json!({"silent": true})).await;
     for number in 0..10_u32 {
         let id = format!("{:016x}", 0xc00 + number);
         let reply = site.submit(0, &id, &site_job(2, 100)).await.expect("reply");
@@ -184,24 +189,21 @@
     eventually(
         "the loss is written down",
         Duration::from_secs(10),
-        || async { site.lines("entry-0").contains("\"event\":\"store_lost\"") },
+        || async { site.log("entry-0").contains("\"event\":\"store_lost\"") },
     )
     .await;
-    site.store_faults(&json!({})).await;
+    site.set_store_faults(&json!({})).await;
     eventually(
         "the return is written down",
         Duration::from_secs(10),
-        || async {
-            site.lines("entry-0")
-                .contains("\"event\":\"store_regained\"")
-        },
+        || async { site.log("entry-0").contains("\"event\":\"store_regained\"") },
     )
     .await;
 }
 
 /// An entry is told to stop while a job runs. The client gets its answer, and the process ends by itself.
 #[tokio::test]
-async fn a_planned_stop_cuts_no_job() {
+async fn a_planned_stop_interrupts_no_job() {
     let mut site = Site::start("stop", 2, 2).await;
     let job = site_job(3, 1_500);
     let stopping = async {
@@ -217,9 +219,9 @@
 /// A worker's reports reach the agent damaged: no service, a number in place of a text, bytes that are no
 /// JSON. They are counted and left aside, and the worker that is known goes on.
 #[tokio::test]
-async fn a_damaged_report_names_no_worker() {
+async fn a_malformed_worker_report_is_rejected() {
     let site = Site::start("reports", 1, 1).await;
-    let agent = site.workers[0].reports;
+    let agent = site.workers[0].report_addr;
     for body in [
         "{}",
         r#"{"service":7,"zone":"north","state":"ready"}"#,
@@ -237,22 +239,22 @@
 
 /// A client's connection breaks while its job runs. Nobody waits any more, so the runs are stopped at once.
 #[tokio::test]
-async fn a_client_that_leaves_stops_its_job() {
+async fn a_client_disconnect_stops_its_job() {
     let site = Site::start("leaves", 1, 1).await;
     let job = site_job(2, 5_000);
     let submitting = site.submit(0, "00000000000000f1", &job);
     // Dropping the call closes its connection.
-    let given_up = tokio::time::timeout(Duration::from_millis(600), submitting).await;
-    assert!(given_up.is_err());
+    let timed_out = tokio::time::timeout(Duration::from_millis(600), submitting).await;
+    assert!(timed_out.is_err());
     eventually("the runs are stopped", Duration::from_secs(3), || async {
         let ended = site
-            .runs()
+            .run_events()
             .iter()
             .filter(|(_, event, _)| event == "end")
             .count();
         ended == 2
     })
     .await;
-    let metrics = get(site.entries[0].metrics, "/metrics").await;
+    let metrics = get(site.entries[0].metrics_addr, "/metrics").await;
     assert!(metrics.body.contains("rattanslip_"));
 }
--- a/tests/processes/support/deployment.rs
+++ b/tests/processes/support/deployment.rs
@@ -118,7 +118,7 @@
             let worker = deployment.start_worker(number);
             deployment.workers.push(worker);
         }
-        deployment.apply_first().await;
+        deployment.apply_initial_config().await;
         deployment.wait_for_workers(deployment.layout.workers).await;
         deployment
     }
@@ -154,7 +154,7 @@
     pub fn add_entry(&mut self) {
         let number = self.entries.len();
         let client = free_addr();
-        let (listen, reached_at) = self
+        let (listen, advertised_addr) = self
             .layout
             .entry_peer_addrs
             .get(&number)
@@ -166,19 +166,19 @@
         let process = self.start_entry(number, client, listen);
         self.entries.push(process);
         self.entry_addrs.push(client);
-        self.entry_peers.push(reached_at);
+        self.entry_peers.push(advertised_addr);
     }
 
     /// Starts an entry's process at these addresses.
     pub fn start_entry(&self, number: usize, client: SocketAddr, peer: SocketAddr) -> Process {
         let platform = self.layout.entry_platforms.get(&number);
-        let reached_at = self.layout.entry_peer_addrs.get(&number);
+        let advertised_addr = self.layout.entry_peer_addrs.get(&number);
         let settings = format!(
             "name = \"entry-{number}\"\navailability_zone = \"{}\"\nclient_listen = \"{client}\"\n\
              peer_listen = \"{peer}\"\npeer_addr = \"{}\"\nplatform = \"{}\"\n{}\n[operators.tester]\n\
              token_blake3 = \"{}\"\nsections = [\"capacity\", \"services\", \"zones\", \"quotas\"]\n",
             ZONES[0],
-            reached_at.map_or(peer, |(_, reached_at)| *reached_at),
+            advertised_addr.map_or(peer, |(_, advertised_addr)| *advertised_addr),
             platform.unwrap_or(&self.platform_addr),
             self.layout.entry_settings,
             blake3::hash(TOKEN.as_bytes()).to_hex(),
@@ -258,7 +258,7 @@
         fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    async fn apply_first(&self) {
+    async fn apply_initial_config(&self) {
         let entry = self.entry_addrs[0];
         let body = json!({ "text": self.document(), "based_on": 0 }).to_string();
         let limit = Duration::from_secs(10);
@@ -309,13 +309,19 @@
     }
 
     /// Sends a request as the operator.
-    pub async fn operate(&self, entry: usize, method: &str, path: &str, body: &str) -> Reply {
+    pub async fn operator_request(
+        &self,
+        entry: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Reply {
         let entry = self.entry_addrs[entry];
         request(method, entry, path, &OPERATOR_HEADERS, body).await
     }
 
     /// Switches faults of a backend server's stand-in on or off.
-    pub async fn backend_faults(&self, worker: usize, faults: &str) {
+    pub async fn set_backend_faults(&self, worker: usize, faults: &str) {
         let addr = self.workers[worker].backend_addr;
         let headers = [("content-type", "application/json")];
         let reply = request("POST", addr, "/faults", &headers, faults).await;
@@ -323,14 +329,14 @@
     }
 
     /// Switches faults of the platform's stand-in on or off.
-    pub async fn platform_faults(&self, faults: &str) {
+    pub async fn set_platform_faults(&self, faults: &str) {
         let headers = [("content-type", "application/json")];
         let reply = request("POST", self.platform_addr, "/faults", &headers, faults).await;
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
     /// How often each task was started, over all backend servers that still answer.
-    pub async fn starts(&self) -> BTreeMap<String, usize> {
+    pub async fn start_counts(&self) -> BTreeMap<String, usize> {
         let mut starts = BTreeMap::new();
         for worker in &self.workers {
             let Ok(reply) =
@@ -348,7 +354,7 @@
 
     /// Fails if any task was started more than once; returns how many were started.
     pub async fn assert_no_double_start(&self) -> usize {
-        let starts = self.starts().await;
+        let starts = self.start_counts().await;
         let doubled: Vec<_> = starts.iter().filter(|(_, count)| **count > 1).collect();
         assert!(doubled.is_empty(), "started more than once: {doubled:?}");
         starts.len()
--- a/tests/processes/support/load.rs
+++ b/tests/processes/support/load.rs
@@ -17,9 +17,9 @@
 /// Clients of each entry, each with one request at a time.
 const CLIENTS: usize = 4;
 /// Pause of a client between its requests.
-const PAUSE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// Patience of a client with one request.
-const PATIENCE: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Milliseconds since 1970, as the backend servers record starts.
 pub fn unix_ms() -> u64 {
@@ -58,7 +58,7 @@
         let clients = entries
             .iter()
             .flat_map(|entry| [deployment.entry_addrs[*entry]; CLIENTS])
-            .map(|entry| tokio::spawn(run(entry, Arc::clone(&done), Arc::clone(&stop))))
+            .map(|entry| tokio::spawn(run_client(entry, Arc::clone(&done), Arc::clone(&stop))))
             .collect();
         Self {
             done,
@@ -81,15 +81,15 @@
     }
 }
 
-async fn run(entry: SocketAddr, done: Arc<AtomicUsize>, stop: Arc<AtomicBool>) {
+async fn run_client(entry: SocketAddr, done: Arc<AtomicUsize>, stop: Arc<AtomicBool>) {
     let path = format!("/v1/requests/{SERVICE}?repeatable=true&deadline_ms=2000");
     while !stop.load(Ordering::SeqCst) {
         let exchange = try_request("POST", entry, &path, &[], "10 x");
-        let reply = tokio::time::timeout(PATIENCE, exchange).await;
+        let reply = tokio::time::timeout(REQUEST_TIMEOUT, exchange).await;
         if matches!(&reply, Ok(Ok(reply)) if reply.status == 200) {
             done.fetch_add(1, Ordering::SeqCst);
         }
-        sleep(PAUSE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether the platform's table has this row, whatever its faults.
-    pub async fn platform_row(&self, key: &str) -> bool {
+    pub async fn has_platform_row(&self, key: &str) -> bool {
         let reply = get(self.platform_addr, &format!("/table/rows/{key}")).await;
         reply.status == 200
     }
@@ -128,7 +128,7 @@
     }
 
     /// Calls that the platform has seen.
-    pub async fn platform_calls(&self) -> u64 {
+    pub async fn platform_call_count(&self) -> u64 {
         let calls = request("GET", self.platform_addr, "/calls", &[], "").await;
         let calls = calls.json();
         calls["reads"].as_u64().unwrap_or(0) + calls["writes"].as_u64().unwrap_or(0)
--- a/tests/processes/support/mod.rs
+++ b/tests/processes/support/mod.rs
@@ -27,13 +27,16 @@
 use std::time::{Duration, Instant};
 
 /// Waits for a condition; fails loudly after `limit`.
-pub async fn eventually<F>(what: &str, limit: Duration, mut holds: impl FnMut() -> F)
+pub async fn eventually<F>(what: &str, timeout: Duration, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
     let started_at = Instant::now();
-    while !holds().await {
-        assert!(started_at.elapsed() < limit, "not within {limit:?}: {what}");
+    while !condition().await {
+        assert!(
+            started_at.elapsed() < timeout,
+            "not within {timeout:?}: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/processes/support/process.rs
+++ b/tests/processes/support/process.rs
@@ -56,15 +56,15 @@
     }
 
     /// Waits for the process's own end.
-    pub async fn wait(&mut self, limit: Duration) -> ExitStatus {
+    pub async fn wait(&mut self, timeout: Duration) -> ExitStatus {
         let started_at = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("wait") {
                 return status;
             }
             assert!(
-                started_at.elapsed() < limit,
-                "still running after {limit:?}"
+                started_at.elapsed() < timeout,
+                "still running after {timeout:?}"
             );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/tests/processes/support/proxy.rs
+++ b/tests/processes/support/proxy.rs
@@ -23,9 +23,9 @@
 pub struct Proxy {
     /// Where it listens.
     pub addr: SocketAddr,
-    silent_before: watch::Sender<u64>,
-    refuse_new: watch::Sender<bool>,
-    opened: Arc<AtomicU64>,
+    blackholed_below: watch::Sender<u64>,
+    reject_new: watch::Sender<bool>,
+    connection_count: Arc<AtomicU64>,
 }
 
 impl Proxy {
@@ -33,46 +33,51 @@
     pub async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
         let addr = listener.local_addr().expect("address");
-        let (silent_before, silent) = watch::channel(0);
-        let (refuse_new, refuse) = watch::channel(false);
-        let opened = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&opened);
+        let (blackholed_below, blackholed_receiver) = watch::channel(0);
+        let (reject_new, reject_receiver) = watch::channel(false);
+        let connection_count = Arc::new(AtomicU64::new(0));
+        let accept_count = Arc::clone(&connection_count);
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                if *refuse.borrow() {
+                if *reject_receiver.borrow() {
                     continue;
                 }
-                let number = counter.fetch_add(1, Ordering::SeqCst);
-                tokio::spawn(forward(socket, to, number, silent.clone()));
+                let number = accept_count.fetch_add(1, Ordering::SeqCst);
+                tokio::spawn(forward(socket, to, number, blackholed_receiver.clone()));
             }
         });
         Self {
             addr,
-            silent_before,
-            refuse_new,
-            opened,
+            blackholed_below,
+            reject_new,
+            connection_count,
         }
     }
 
     /// From now on swallows the bytes of all connections open now, without closing them.
-    pub fn go_silent(&self) {
-        let opened = self.opened.load(Ordering::SeqCst);
-        self.silent_before.send_replace(opened);
+    pub fn blackhole_open_connections(&self) {
+        let connection_count = self.connection_count.load(Ordering::SeqCst);
+        self.blackholed_below.send_replace(connection_count);
     }
 
     /// Swallows everything and closes new connections at once: the two ends are cut apart.
-    pub fn cut(&self) {
-        self.refuse_new.send_replace(true);
-        self.go_silent();
+    pub fn partition(&self) {
+        self.reject_new.send_replace(true);
+        self.blackhole_open_connections();
     }
 
     /// Lets new connections through again.
     pub fn heal(&self) {
-        self.refuse_new.send_replace(false);
+        self.reject_new.send_replace(false);
     }
 }
 
-async fn forward(socket: TcpStream, to: SocketAddr, number: u64, silent: watch::Receiver<u64>) {
+async fn forward(
+    socket: TcpStream,
+    to: SocketAddr,
+    number: u64,
+    blackholed_receiver: watch::Receiver<u64>,
+) {
     let Ok(target) = TcpStream::connect(to).await else {
         return;
     };
@@ -82,8 +87,8 @@
     let (from_client, to_client) = socket.into_split();
     let (from_target, to_target) = target.into_split();
     tokio::join!(
-        copy(from_client, to_target, number, silent.clone()),
-        copy(from_target, to_client, number, silent),
+        copy(from_client, to_target, number, blackholed_receiver.clone()),
+        copy(from_target, to_client, number, blackholed_receiver),
     );
 }
 
@@ -91,12 +96,12 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     number: u64,
-    silent: watch::Receiver<u64>,
+    blackholed_receiver: watch::Receiver<u64>,
 ) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let read = from.read(&mut buffer).await.unwrap_or(0);
-        if number < *silent.borrow() {
+        if number < *blackholed_receiver.borrow() {
             if read == 0 {
                 // Not even the close gets through.
                 std::future::pending::<()>().await;
--- a/tests/processes/support/site.rs
+++ b/tests/processes/support/site.rs
@@ -21,10 +21,10 @@
 #[derive(Debug)]
 pub struct SiteEntry {
     pub process: Process,
-    pub clients: SocketAddr,
-    pub links: SocketAddr,
-    pub ready: SocketAddr,
-    pub metrics: SocketAddr,
+    pub client_addr: SocketAddr,
+    pub link_addr: SocketAddr,
+    pub ready_addr: SocketAddr,
+    pub metrics_addr: SocketAddr,
     settings: PathBuf,
 }
 
@@ -35,7 +35,7 @@
     pub agent: Process,
     pub addr: SocketAddr,
     /// Where the agent takes the worker's reports.
-    pub reports: SocketAddr,
+    pub report_addr: SocketAddr,
     pub log: PathBuf,
     settings: PathBuf,
 }
@@ -50,10 +50,10 @@
     folder: PathBuf,
 }
 
-fn common(name: &str, zone: &str, store: SocketAddr, metrics: SocketAddr) -> String {
+fn common_settings(name: &str, zone: &str, store: SocketAddr, metrics_addr: SocketAddr) -> String {
     format!(
         "deployment = \"site\"\nname = \"{name}\"\navailability_zone = \"{zone}\"\n\
-         metrics_listen = \"{metrics}\"\nstore = \"{store}\"\n"
+         metrics_listen = \"{metrics_addr}\"\nstore = \"{store}\"\n"
     )
 }
 
@@ -80,22 +80,22 @@
                 .is_ok()
         })
         .await;
-        site.put("config", &site_config(1)).await;
+        site.put_operator_row("config", &site_config(1)).await;
         for number in 0..entries {
             site.add_entry(number);
         }
         for number in 0..workers {
             site.add_worker(number);
         }
-        site.until_ready().await;
+        site.wait_until_ready().await;
         site
     }
 
     /// Waits until all entries are ready.
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for entry in &self.entries {
             eventually("an entry is ready", Duration::from_secs(20), || async {
-                let probe = try_request("GET", entry.ready, "/v1/ready", &[], "").await;
+                let probe = try_request("GET", entry.ready_addr, "/v1/ready", &[], "").await;
                 probe.is_ok_and(|reply| reply.status == 200)
             })
             .await;
@@ -103,7 +103,7 @@
     }
 
     /// Writes an operators' row.
-    pub async fn put(&self, key: &str, value: &Value) {
+    pub async fn put_operator_row(&self, key: &str, value: &Value) {
         let value = STANDARD.encode(value.to_string());
         let body = json!({"puts": [{"table": "op", "part": "", "key": key, "value": value}]});
         let reply = request("POST", self.store, "/v1/rows-tx", &[], &body.to_string()).await;
@@ -111,26 +111,32 @@
     }
 
     /// Switches faults of the store on.
-    pub async fn store_faults(&self, faults: &Value) {
+    pub async fn set_store_faults(&self, faults: &Value) {
         request("POST", self.store, "/faults", &[], &faults.to_string()).await;
     }
 
     fn add_entry(&mut self, number: usize) {
-        let (clients, ready, metrics, links) = (free_addr(), free_addr(), free_addr(), free_addr());
+        let (client_addr, ready_addr, metrics_addr, link_addr) =
+            (free_addr(), free_addr(), free_addr(), free_addr());
         let text = format!(
-            "{}client_listen = \"{clients}\"\nready_listen = \"{ready}\"\nlink_listen = \"{}\"\n",
-            common(&format!("entry-{number}"), "north", self.store, metrics),
-            links
+            "{}client_listen = \"{client_addr}\"\nready_listen = \"{ready_addr}\"\nlink_listen = \"{}\"\n",
+            common_settings(
+                &format!("entry-{number}"),
+                "north",
+                self.store,
+                metrics_addr
+            ),
+            link_addr
         );
         let settings = self.folder.join(format!("entry-{number}.toml"));
         fs::write(&settings, text).expect("settings");
         let process = start_entry(&settings, &self.folder);
         self.entries.push(SiteEntry {
             process,
-            clients,
-            links,
-            ready,
-            metrics,
+            client_addr,
+            link_addr,
+            ready_addr,
+            metrics_addr,
             settings,
         });
     }
@@ -143,17 +149,21 @@
     }
 
     fn add_worker(&mut self, number: usize) {
-        let (addr, reports) = (free_addr(), free_addr());
+        let (addr, report_addr) = (free_addr(), free_addr());
         let zone = ["north", "south"][number % 2];
         let text = format!(
-            "{}service = \"shares\"\nworker = \"{addr}\"\nworker_listen = \"{reports}\"\n",
-            common(&format!("agent-{number}"), zone, self.store, free_addr())
+            "{}service = \"shares\"\nworker = \"{addr}\"\nworker_listen = \"{report_addr}\"\n",
+            common_settings(&format!("agent-{number}"), zone, self.store, free_addr())
         );
         let settings = self.folder.join(format!("agent-{number}.toml"));
         fs::write(&settings, text).expect("settings");
         let agent = start_agent(&settings, &self.folder);
         let log = self.folder.join(format!("worker-{number}.log"));
-        let (listen, to, id) = (addr.to_string(), reports.to_string(), format!("w-{number}"));
+        let (listen, to, id) = (
+            addr.to_string(),
+            report_addr.to_string(),
+            format!("w-{number}"),
+        );
         let args = [
             "site-worker",
             "--listen",
@@ -176,7 +186,7 @@
             worker,
             agent,
             addr,
-            reports,
+            report_addr,
             log,
             settings,
         });
@@ -193,13 +203,13 @@
     pub fn set_seed(&self, agent: usize, entry: usize) {
         let settings = &self.workers[agent].settings;
         let text = fs::read_to_string(settings).expect("settings");
-        let seed = format!("seeds = [\"{}\"]\n", self.entries[entry].links);
+        let seed = format!("seeds = [\"{}\"]\n", self.entries[entry].link_addr);
         fs::write(settings, text + &seed).expect("settings");
     }
 
     /// Puts an entry into all copies of the list, or takes it off.
-    pub async fn list_entry(&self, entry: usize, listed: bool) {
-        let key = self.entries[entry].links.to_string();
+    pub async fn set_entry_listed(&self, entry: usize, listed: bool) {
+        let key = self.entries[entry].link_addr.to_string();
         for part in ["0", "1", "2"] {
             let row = json!({"table": "rattanslip_entries", "part": part, "key": key, "value": ""});
             let change = if listed { "puts" } else { "remove" };
@@ -211,11 +221,11 @@
 
     /// Hands a job in and waits for its answer.
     pub async fn submit(&self, entry: usize, id: &str, body: &Value) -> Result<Reply, String> {
-        submit_to(self.entries[entry].clients, id, body.clone()).await
+        submit_to(self.entries[entry].client_addr, id, body.clone()).await
     }
 
     /// Beginnings and ends of runs at all workers: worker, event, task.
-    pub fn runs(&self) -> Vec<(usize, String, String)> {
+    pub fn run_events(&self) -> Vec<(usize, String, String)> {
         let mut runs = Vec::new();
         for (number, worker) in self.workers.iter().enumerate() {
             for line in fs::read_to_string(&worker.log).expect("log").lines() {
@@ -231,7 +241,7 @@
     }
 
     /// Lines that an entry or agent has written.
-    pub fn lines(&self, process: &str) -> String {
+    pub fn log(&self, process: &str) -> String {
         fs::read_to_string(self.folder.join(format!("{process}.log"))).expect("log")
     }
 }
@@ -243,7 +253,7 @@
     try_request("POST", entry, &path, &headers, &body.to_string()).await
 }
 
-fn log_of(settings: &Path, folder: &Path) -> PathBuf {
+fn log_path(settings: &Path, folder: &Path) -> PathBuf {
     let name = settings.file_stem().expect("name").to_string_lossy();
     folder.join(format!("{name}.log"))
 }
@@ -252,14 +262,14 @@
     let path = settings.to_string_lossy();
     let args = ["--settings", path.as_ref()];
     let program = env!("CARGO_BIN_EXE_rattanslip-entry");
-    Process::start(program, &args, &log_of(settings, folder))
+    Process::start(program, &args, &log_path(settings, folder))
 }
 
 fn start_agent(settings: &Path, folder: &Path) -> Process {
     let path = settings.to_string_lossy();
     let args = ["--settings", path.as_ref()];
     let program = env!("CARGO_BIN_EXE_rattanslip-agent");
-    Process::start(program, &args, &log_of(settings, folder))
+    Process::start(program, &args, &log_path(settings, folder))
 }
 
 /// The operators' document.
