--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! rattanslip: a dispatcher for sub-second tasks.
 //!
-//! The library holds all of it; each binary calls one function. `docs/ARCHITECTURE.md` says
-//! which process does what and where to find which decision.
+//! The library contains the code of all programs; each binary calls one function.
+//! `docs/ARCHITECTURE.md` describes the processes and modules.
 
 mod adapters;
 mod agent;
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Checks that what the pages name exists: files, tests, settings, metrics, reasons and flags.
+//! Checks that files, tests, settings, metrics, reasons and options named in the pages exist.
 
 #![allow(
     clippy::expect_used,
@@ -11,16 +11,16 @@
     path::{Path, PathBuf},
 };
 
-/// Folders whose text may hold what a page names.
+/// Folders that are searched for the names.
 const CODE_FOLDERS: [&str; 5] = ["src", "tests", "scripts", "examples", ".ci"];
-/// Files beside them.
+/// Single files that are searched for the names.
 const CODE_FILES: [&str; 2] = ["Cargo.toml", "Cargo.lock"];
 
 fn repository_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All files below a folder.
+/// All files in a folder and its subfolders.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for item in fs::read_dir(folder).expect("folder") {
@@ -57,13 +57,13 @@
     texts.collect::<Vec<_>>().join("\n")
 }
 
-/// The words of the code: what stands between characters that no name contains.
+/// All identifiers in a text.
 fn identifiers(text: &str) -> BTreeSet<&str> {
     text.split(|c: char| !c.is_alphanumeric() && c != '_')
         .collect()
 }
 
-/// The inline code of a page; fenced blocks are left out, since `scripts/run-page` runs them.
+/// Inline code of a page. Fenced blocks are skipped; `scripts/run-page` runs them.
 fn inline_code(page: &str) -> Vec<&str> {
     let mut spans = Vec::new();
     let mut fenced = false;
@@ -108,13 +108,13 @@
     repository_root().join(path).exists() || repository_root().join("src").join(path).exists()
 }
 
-/// Whether a test is named `module::function`, with the file's or folder's name in front.
+/// Whether the function of `module::function` exists; the module is not checked.
 fn test_exists(name: &str, identifiers: &BTreeSet<&str>) -> bool {
     let function = name.rsplit("::").next().expect("function");
     identifiers.contains(function)
 }
 
-/// What is wrong with one name on a page, if anything.
+/// Returns what is wrong with a name on a page, if anything.
 fn fault(name: &str, code: &str, identifiers: &BTreeSet<&str>) -> Option<&'static str> {
     if let Some(flag) = name
         .split(' ')
@@ -137,7 +137,7 @@
         return (!test_exists(name, identifiers)).then_some("no such test");
     }
     if let Some(metric) = name.strip_prefix("rattanslip_") {
-        // Prometheus adds the suffix to counters, and dots become underscores.
+        // The Prometheus exporter replaces dots by underscores and appends `_total` to counters.
         let plain = metric.strip_suffix("_total").unwrap_or(metric);
         let known = code.contains(&format!("rattanslip.{plain}"));
         return (!known).then_some("no such metric");
--- a/tests/processes/client_requests.rs
+++ b/tests/processes/client_requests.rs
@@ -1,4 +1,4 @@
-//! The whole path: what a client sees when nothing fails, and when its input is bad.
+//! Client requests without faults, and invalid client requests.
 
 use super::support::{Deployment, Layout, SERVICE, get, job_body, request};
 
@@ -19,7 +19,7 @@
         .await;
     assert_eq!(
         again.body, reply.body,
-        "a resubmission gets the same answer"
+        "a resubmission returns the same outcome"
     );
     assert_eq!(deployment.assert_no_double_start().await, 40);
     let metrics = get(deployment.entry_addrs[0], "/metrics").await.body;
@@ -49,7 +49,6 @@
     assert_eq!(deployment.assert_no_double_start().await, 2);
 }
 
-/// Bad requests and what each must be answered with; none may start anything.
 #[tokio::test]
 async fn bad_requests_are_rejected_with_a_reason_and_start_nothing() {
     let layout = Layout {
--- a/tests/processes/config.rs
+++ b/tests/processes/config.rs
@@ -1,4 +1,4 @@
-//! The configuration over real processes: races, kills, pauses, outages, restarts.
+//! Configuration changes on real processes: races, kills, pauses, outages and restarts.
 
 use {
     super::support::{Deployment, Layout, Reply, eventually, get, request, try_request},
@@ -10,9 +10,8 @@
     },
 };
 
-/// Room for anything that should take a few seconds.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Operators beside the deployment's own, with the sections that they own; token as the name.
+/// Additional operators and their sections; the name is also the token.
 const OPERATORS: [(&str, &str); 3] = [
     ("hardware", "\"capacity\""),
     ("night-shift", "\"zones\""),
@@ -35,7 +34,7 @@
     json!({ "text": text, "based_on": based_on }).to_string()
 }
 
-/// Applies a document as one of [`OPERATORS`]; `None` if the entry gave no answer.
+/// Applies a document as one of [`OPERATORS`]; `None` without a complete response.
 async fn try_apply(
     deployment: &Deployment,
     entry: usize,
@@ -70,7 +69,7 @@
     reply.json().as_array().expect("history").clone()
 }
 
-/// The versions of a history, which must have no gap.
+/// Returns the newest version of the history and checks that the history has no gap.
 async fn newest_version(deployment: &Deployment, entry: usize) -> u64 {
     let history = history(deployment, entry).await;
     for (index, head) in history.iter().enumerate() {
@@ -79,7 +78,8 @@
     history.len() as u64
 }
 
-/// Waits until every entry holds this version and every agent has been told of it.
+/// Waits until each entry uses this version and all agents have reported it; returns the time that
+/// it took.
 async fn wait_until_in_force(deployment: &Deployment, version: u64) -> Duration {
     let started_at = Instant::now();
     for entry in &deployment.entry_addrs {
@@ -108,9 +108,7 @@
     text.replace(&header, &format!("{header}state = \"out\" # {zone}\n"))
 }
 
-/// Two operators change different sections at the same moment, through two entries, each from
-/// the same version. Both see "accepted"; neither change undoes the other, comments included.
-/// The cause of a loss would be a write of the whole document from an old read.
+/// Writing the complete document from an old read would overwrite the concurrent change.
 #[tokio::test]
 async fn concurrent_changes_of_different_sections_are_both_applied() {
     let deployment = deployment().await;
@@ -131,8 +129,7 @@
     }
 }
 
-/// Two operators change the same section at the same moment to different things. Exactly one
-/// lands; the other is told who changed what, when and in which version, and can decide anew.
+/// The rejection names author, time and version of the change that was applied.
 #[tokio::test]
 async fn one_of_two_conflicting_changes_is_applied_and_the_other_is_rejected() {
     let deployment = deployment().await;
@@ -177,8 +174,8 @@
     assert_eq!(newest_version(&deployment, 0).await, 2);
 }
 
-/// The hardware team keeps its section in a file of its own. Applied with the version that the
-/// section was made from, it changes that section and leaves alone those that it doesn't hold.
+/// A document with one section, and the version of that section, leaves the other sections
+/// unchanged.
 #[tokio::test]
 async fn a_partial_document_changes_only_its_section() {
     let deployment = deployment().await;
@@ -197,7 +194,7 @@
     assert_eq!(reply.status, 400, "{}", reply.body);
 }
 
-/// An operator's token covers some sections. A change of another section is refused, whole.
+/// A change of several sections is rejected completely if one of them belongs to another operator.
 #[tokio::test]
 async fn a_change_outside_the_operators_sections_is_rejected() {
     let deployment = deployment().await;
@@ -210,8 +207,7 @@
     assert_eq!(newest_version(&deployment, 0).await, 1);
 }
 
-/// An entry accepts a change and is killed at once. The change must be in force at the other
-/// entry and the agents, and at the entry's replacement.
+/// The change comes into force at the other entry, the agents and the restarted entry.
 #[tokio::test]
 async fn an_accepted_change_survives_the_kill_of_its_entry() {
     let mut deployment = deployment().await;
@@ -225,16 +221,15 @@
     .await;
     let (client, peer) = (deployment.entry_addrs[0], deployment.entry_peers[0]);
     deployment.entries[0] = deployment.start_entry(0, client, peer);
-    eventually("the replacement answers", WAIT_TIMEOUT, || async {
+    eventually("the replacement responds", WAIT_TIMEOUT, || async {
         try_request("GET", client, "/health", &[], "").await.is_ok()
     })
     .await;
     wait_until_in_force(&deployment, 2).await;
 }
 
-/// An entry freezes in the middle of a change, after it read the head row. Meanwhile another
-/// change of the same section lands through the other entry. When the entry wakes, it goes on
-/// from its old read: its change must not undo the other, and its answer must be true.
+/// The entry is paused after it has read the head row. Another change of the same section is
+/// applied before it resumes.
 #[tokio::test]
 async fn an_entry_paused_during_a_change_does_not_overwrite_a_newer_one() {
     let deployment = deployment().await;
@@ -272,8 +267,8 @@
     }
 }
 
-/// The platform makes a write and its reply is lost on the way back. The operator sees
-/// "accepted", once, as the entry finds out by reading; the history has the change once.
+/// The platform applies a write, but its response is lost. The entry reads the result, and the
+/// change is recorded once.
 #[tokio::test]
 async fn a_lost_write_reply_is_resolved_by_reading() {
     let deployment = deployment().await;
@@ -293,9 +288,7 @@
     assert!(metrics.contains(settled), "{metrics}");
 }
 
-/// The platform is down, or takes 5 s for a call. A change is refused with a time to come back,
-/// nothing is changed, and the configuration in force stays. When the platform is back the same
-/// change lands.
+/// The rejection has a retry delay. The same change is accepted after the outage.
 #[tokio::test]
 async fn a_change_during_a_platform_outage_is_rejected_without_effect() {
     let deployment = deployment().await;
@@ -321,9 +314,8 @@
     assert_eq!(current_config(deployment, 0).await["version"], 1);
 }
 
-/// An operator's shell is closed in the middle of a change, while the platform is slow. The
-/// entry must not leave the change half way, with a write under way that nobody settles: it goes
-/// on to the end, counts the outcome and holds what came of it.
+/// The entry must finish the writes, count the outcome and apply the new version without the
+/// operator's connection.
 #[tokio::test]
 async fn a_change_completes_after_the_operator_disconnects() {
     let deployment = deployment().await;
@@ -331,7 +323,7 @@
     deployment.set_platform_faults(r#"{"slow_ms": 500}"#).await;
     let limit = Duration::from_millis(700);
     let cut = tokio::time::timeout(limit, apply(&deployment, 0, "night-shift", &change)).await;
-    assert!(cut.is_err(), "answered before the operator hung up");
+    assert!(cut.is_err(), "response before the operator disconnected");
     eventually(
         "the change is counted as accepted",
         WAIT_TIMEOUT,
@@ -345,8 +337,7 @@
     wait_until_in_force(&deployment, 2).await;
 }
 
-/// Hosts keep nothing, and all processes of the system are replaced. The configuration, its
-/// history and who changed what are as they were.
+/// Hosts have no persistent disks. All processes but the platform are replaced.
 #[tokio::test]
 async fn the_configuration_survives_a_restart_of_all_processes() {
     let mut deployment = deployment().await;
@@ -376,7 +367,7 @@
         deployment.workers[number] = deployment.start_worker(number);
     }
     for entry in deployment.entry_addrs.clone() {
-        eventually("a replaced entry answers", WAIT_TIMEOUT, || async {
+        eventually("a replaced entry responds", WAIT_TIMEOUT, || async {
             try_request("GET", entry, "/health", &[], "").await.is_ok()
         })
         .await;
@@ -389,7 +380,7 @@
     assert_eq!(before, after);
 }
 
-/// Adds a team's quota to what the entry shows, anew after each conflict; counts the conflicts.
+/// Adds a team's quota, with a retry after each conflict; returns the number of conflicts.
 async fn add_quota(entry: SocketAddr, operator: &str, team: &str) -> usize {
     let authorization = format!("Bearer {operator}");
     let headers = [
@@ -411,9 +402,8 @@
     unreachable!("the loop has no end")
 }
 
-/// Twenty operators add a quota each at the same moment, through two entries, and come again
-/// when they are told of a conflict. All land: the document in force has all twenty, the history
-/// one version for each. Prints the times and the store's calls.
+/// Twenty operators concurrently add a quota each through two entries and retry after conflicts.
+/// Prints the times and the number of store calls.
 #[tokio::test]
 async fn a_burst_of_twenty_changes_is_applied_completely() {
     let deployment = deployment().await;
@@ -431,7 +421,7 @@
     }
     let mut conflicts = 0;
     for task in tasks {
-        conflicts += task.await.expect("lands");
+        conflicts += task.await.expect("joined");
     }
     let applied = started_at.elapsed();
     let after = store_calls(&deployment).await;
@@ -447,15 +437,15 @@
         assert_eq!(teams, 20);
     }
     println!(
-        "20 changes landed after {applied:?} and {conflicts} conflicts, {} reads and {} writes of \
+        "20 changes applied after {applied:?} and {conflicts} conflicts, {} reads and {} writes of \
          the store; in force everywhere {everywhere:?} later",
         after.0 - before.0,
         after.1 - before.1,
     );
 }
 
-/// One zone goes out and in, six changes in all. Prints how long each change took until every
-/// entry held it and every agent had been told.
+/// Evacuates and reopens a zone, six changes in total. Prints the time until each change is in
+/// force.
 #[tokio::test]
 async fn zone_changes_come_into_force_at_all_processes() {
     let deployment = deployment().await;
--- a/tests/processes/exactly_once.rs
+++ b/tests/processes/exactly_once.rs
@@ -1,4 +1,4 @@
-//! Once, whole and truthfully: what a client sees when processes and connections fail.
+//! Exactly-once execution and complete outcomes when processes and connections fail.
 
 use {
     super::support::{
@@ -9,7 +9,6 @@
     tokio::task::JoinHandle,
 };
 
-/// Generous: what is measured stands in docs/design/once.md.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn submit_in_background(entry: SocketAddr, ticket: &str, body: &str) -> JoinHandle<Option<Reply>> {
@@ -37,7 +36,7 @@
     .await;
 }
 
-/// The worker whose agent is home of the only job that runs.
+/// Returns the worker whose agent is the home of the only running job.
 async fn home_of(deployment: &Deployment, ticket: &str) -> usize {
     let poll = format!("/v1/jobs/{ticket}");
     let mut found = None;
@@ -60,8 +59,8 @@
     assert_eq!(reply.outputs(), expected_outputs(tasks));
 }
 
-/// A skipper's office loses patience and sends its job again through another entry in the same
-/// moment as the first. Both get the same whole answer, and no share is paid twice.
+/// A client resubmits its job through another entry while the first submission is in flight. Both
+/// receive the same outcome.
 #[tokio::test]
 async fn the_same_job_through_two_entries_at_once_runs_once() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -78,8 +77,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 100);
 }
 
-/// An entry is killed in the middle of a job. Its client sees a broken connection, asks through
-/// another entry with the same ticket, and gets the whole answer of the one run.
+/// The client resubmits with the same ticket through another entry and receives the complete
+/// outcome of the one run.
 #[tokio::test]
 async fn a_job_survives_the_kill_of_its_entry() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -94,8 +93,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 12);
 }
 
-/// A home is killed in the middle of a job and its agent replaced. Nobody can know how far it
-/// got: the client is told "may have run", now and at every later try, and nothing starts again.
+/// The progress of the job is lost with its home, so this and each later submission is answered
+/// with "may have run".
 #[tokio::test]
 async fn tasks_of_a_killed_home_may_have_run_and_are_not_restarted() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -107,7 +106,7 @@
     deployment.workers[home].agent.kill();
     let first = first.await.expect("first").expect("reply");
     assert_eq!(first.verdict(), "may-have-run", "{}", first.body);
-    // The killed agent's backend server goes on and is announced to the agent that follows.
+    // The backend server of the killed agent keeps running and is announced to the new agent.
     let replacement = deployment.start_worker(home);
     let replaced = std::mem::replace(&mut deployment.workers[home], replacement);
     deployment.wait_for_workers(3).await;
@@ -119,9 +118,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 3);
 }
 
-/// A home's host freezes for ten seconds in the middle of a job. The client's request is given an
-/// honest "may have run" with a time to come back; when the home is back, the same ticket gets
-/// the whole answer, and no task was started a second time.
+/// During the pause the client receives "may have run" with a retry delay. After it the same ticket
+/// returns the complete outcome.
 #[tokio::test]
 async fn a_paused_home_returns_the_outcome_after_it_resumes() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -148,7 +146,7 @@
     }
 }
 
-/// Submits again as the verdict asks for, until the home can be reached.
+/// Retries the submission until the home is reachable.
 async fn submit_until_home_is_reachable(
     deployment: &Deployment,
     entry: usize,
@@ -162,12 +160,11 @@
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    panic!("the home can't be reached");
+    panic!("the home is unreachable");
 }
 
-/// A runner's host freezes with tasks on it. Its tasks may have run, so the job fails at once
-/// with the truth for each, well before the deadline; when the runner wakes, it starts nothing
-/// that was told otherwise.
+/// Tasks on the runner may have run. The job fails with an outcome for each task, and the resumed
+/// runner starts nothing that was reported as not run.
 #[tokio::test]
 async fn a_paused_runner_fails_its_jobs_before_the_deadline() {
     let layout = Layout {
@@ -188,16 +185,15 @@
         ("may-have-run", "runner_lost")
     );
     let tasks = reply.json()["tasks"].as_array().expect("tasks").len();
-    assert_eq!(tasks, 12, "the truth for each task");
+    assert_eq!(tasks, 12, "an outcome for each task");
     deployment.workers[runner].agent.resume();
     let again = deployment.submit(1, &ticket, &body).await;
     assert_eq!(again.body, reply.body);
     assert_eq!(deployment.assert_no_double_start().await, 12);
 }
 
-/// Something between home and runner loses track of their connection: bytes vanish, nothing is
-/// closed, new connections work. Without pings the job would hang until its deadline. The home
-/// opens a new session, asks what became of its tasks, and the answer is whole.
+/// Without pings the job would wait until its deadline. The home opens a new session and queries
+/// the state of its tasks.
 #[tokio::test]
 async fn a_blackholed_connection_between_home_and_runner_is_replaced() {
     let listen = free_addr();
@@ -218,14 +214,14 @@
         proxy.blackhole_open_connections();
         let started_at = std::time::Instant::now();
         let reply = first.await.expect("first").expect("reply");
-        println!("answered {:?} after the silence", started_at.elapsed());
+        println!("response {:?} after the fault", started_at.elapsed());
         assert_complete(&reply, 10);
     }
     assert_eq!(deployment.assert_no_double_start().await, 60);
 }
 
-/// The same between an entry and a home: the entry's call waits on a connection that is gone. It
-/// must find out, call again under the same ticket, and hand on the answer of the one run.
+/// The entry must detect the dead connection, call again under the same ticket and relay the
+/// outcome of the one run.
 #[tokio::test]
 async fn a_blackholed_connection_between_entry_and_home_is_replaced() {
     let listen = free_addr();
@@ -244,14 +240,14 @@
         proxy.blackhole_open_connections();
         let started_at = std::time::Instant::now();
         let reply = first.await.expect("first").expect("reply");
-        println!("answered {:?} after the silence", started_at.elapsed());
+        println!("response {:?} after the fault", started_at.elapsed());
         assert_complete(&reply, 4);
     }
     assert_eq!(deployment.assert_no_double_start().await, 16);
 }
 
-/// A client sends its own key, the platform's write takes effect and its reply is lost, while the
-/// same key comes in through another entry. Both must end at one ticket and one run.
+/// The platform's response to the claim of a client's key is lost, while the same key is submitted
+/// through another entry. Both must use one ticket.
 #[tokio::test]
 async fn a_lost_claim_reply_and_a_concurrent_claim_run_the_job_once() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -273,9 +269,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 12);
 }
 
-/// The platform is down. A client with a key of its own is answered at once with a time to come
-/// back: nobody can read whether the key was used before, so the answer is not "not run". One
-/// with a ticket is served as ever, and so is a key that this entry has bound or found before.
+/// The entry cannot read whether the key was used before, so the response must not be "not run".
+/// Jobs with tickets do not depend on the platform.
 #[tokio::test]
 async fn a_platform_outage_defers_fresh_keys_but_not_tickets() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -296,9 +291,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 4);
 }
 
-/// A bank's job runs under its own key and the answer gets lost. It asks again through another
-/// entry while the platform is down. "Not run" would be false, and the bank would pay by another
-/// way; the first entry still knows the key and gives the answer.
+/// During a platform outage an entry that does not know the key responds with "may have run"; the
+/// entry that does returns the outcome.
 #[tokio::test]
 async fn a_key_that_ran_is_never_reported_as_not_run() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -326,8 +320,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 2);
 }
 
-/// A job has run and its answer was lost. Before the client asks again, operators take the service
-/// out of the configuration. "Unknown service, not run" would be false for this job.
+/// "Unknown service, not run" would be false for a job that has run before operators removed its
+/// service.
 #[tokio::test]
 async fn a_resubmission_after_removal_of_its_service_returns_the_outcome() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -352,14 +346,13 @@
     );
 }
 
-/// One of 200 shares can't be reckoned. The whole job fails at once, with the truth for each
-/// task, and those that had not started never do.
+/// Tasks that have not started at the failure never start.
 #[tokio::test]
 async fn one_failing_task_of_200_fails_the_job_and_reports_each_task_outcome() {
     let deployment = Deployment::start(Layout::default()).await;
     let mut job: serde_json::Value =
         serde_json::from_str(&job_body(200, 10_000, 60_000)).expect("job");
-    // The others that start run for so long that no slot is free again before the failure is known.
+    // The other tasks run long enough that no slot becomes free before the failure is known.
     job["tasks"][3]["input"] = "broken".into();
     let ticket = deployment.ticket(0).await;
     let reply = deployment.submit(0, &ticket, &job.to_string()).await;
@@ -381,9 +374,8 @@
     );
 }
 
-/// A thousand clients cancel at once. Queued tasks never start, running ones are told to stop,
-/// and every cancellation gets its final answer at once. The queue is longer than its deadline
-/// allows, so the last jobs may already have been refused as overloaded: that must be as final.
+/// The queue exceeds the deadline, so some jobs are rejected as overloaded before their
+/// cancellation; that verdict is final as well.
 #[tokio::test]
 async fn a_thousand_cancellations_stop_all_queued_tasks() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -440,7 +432,7 @@
     tokio::time::sleep(Duration::from_secs(4)).await;
     let started = deployment.assert_no_double_start().await;
     println!("{admitted} admitted, {cancelled} cancelled before their start, {started} started");
-    assert!(started <= admitted, "a refused job has started");
+    assert!(started <= admitted, "a rejected job has started");
     assert!(cancelled > 100, "{cancelled}");
     assert!(started + not_run <= 1_000);
     assert!(not_run > 800, "{not_run}");
@@ -449,7 +441,7 @@
     assert_complete(&reply, 4);
 }
 
-/// A client's single request that must not be repeated is sent twice by the balancer.
+/// The balancer sends a single request that is not repeatable twice.
 #[tokio::test]
 async fn a_request_duplicated_by_the_balancer_runs_once() {
     let deployment = Deployment::start(Layout::default()).await;
--- a/tests/processes/gate.rs
+++ b/tests/processes/gate.rs
@@ -1,5 +1,5 @@
-//! The zone gate over real processes: a zone is taken out under every fault, and a plain outage
-//! of the platform stops nothing. The witness is what the backend servers recorded.
+//! Evacuation of a zone under faults, and platform outages without evacuation, on real processes.
+//! The tests check the starts that the backend servers recorded.
 
 use {
     super::support::{Deployment, Layout, Load, Proxy, eventually, free_addr, unix_ms},
@@ -7,18 +7,18 @@
     tokio::time::sleep,
 };
 
-/// The zone that is taken out, and its only worker.
+/// The evacuated zone.
 const ZONE: &str = "keflavik";
+/// The only worker of the zone.
 const WORKER: usize = 1;
-/// Time after the acceptance from which nothing may start in the zone, in milliseconds: five
-/// seconds by the rule, and room for a busy machine.
+/// Time after the acceptance of the change until the last permitted start in the zone: the limit of
+/// 5 s and a margin for a busy machine.
 const MAX_START_DELAY_MS: u64 = 7_000;
-/// For how long the load goes on after that.
+/// Time after the last permitted start during which the load continues.
 const OBSERVATION_MS: u64 = 2_500;
-/// Room for anything that should take a few seconds.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Takes the zone out and returns when the entry had accepted it.
+/// Evacuates the zone; returns the time at which the entry had accepted the change.
 async fn take_zone_out(deployment: &Deployment, entry: usize) -> u64 {
     let path = format!("/v1/zones/{ZONE}/out");
     let reply = deployment.operator_request(entry, "POST", &path, "").await;
@@ -26,7 +26,7 @@
     unix_ms()
 }
 
-/// Watches until well after the last permitted start and checks that there was none later.
+/// Checks after the observation time that nothing started after the last permitted start.
 async fn assert_no_late_starts(deployment: &Deployment, accepted_ms: u64, case: &str) {
     while unix_ms() < accepted_ms + MAX_START_DELAY_MS + OBSERVATION_MS {
         sleep(Duration::from_millis(50)).await;
@@ -37,26 +37,26 @@
     assert!(late_ms < MAX_START_DELAY_MS, "{case}: {late_ms} ms");
 }
 
-/// Starts a load on these entries and waits until the zone has its share of it.
+/// Starts a load on these entries and waits until the zone has started tasks.
 async fn start_load(deployment: &Deployment, entries: &[usize]) -> Load {
     let load = Load::start(deployment, entries);
-    eventually("the zone works", WAIT_TIMEOUT, || async {
+    eventually("the zone starts tasks", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(WORKER).await > 0
     })
     .await;
     load
 }
 
-/// Work is done in the other zones, now.
+/// Waits until the other zones start tasks.
 async fn assert_other_zones_run(deployment: &Deployment) {
     let since_ms = unix_ms();
-    eventually("work goes on in the other zones", WAIT_TIMEOUT, || async {
+    eventually("the other zones start tasks", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(0).await > since_ms && deployment.last_start_ms(2).await > since_ms
     })
     .await;
 }
 
-/// Two entries that reach the platform through proxies of their own.
+/// Two entries that connect to the platform through one proxy each.
 async fn deployment_behind_platform_proxies() -> (Deployment, Vec<Proxy>) {
     let platform = free_addr();
     let proxies = vec![Proxy::start(platform).await, Proxy::start(platform).await];
@@ -73,25 +73,24 @@
     let deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[0, 1]).await;
     let accepted_ms = take_zone_out(&deployment, 0).await;
-    assert_no_late_starts(&deployment, accepted_ms, "nothing fails").await;
+    assert_no_late_starts(&deployment, accepted_ms, "no fault").await;
     assert_other_zones_run(&deployment).await;
     let path = format!("/v1/zones/{ZONE}/in");
     let reply = deployment.operator_request(1, "POST", &path, "").await;
     assert_eq!(reply.status, 200, "{}", reply.body);
     let reopened_ms = unix_ms();
-    eventually("the zone works again", WAIT_TIMEOUT, || async {
+    eventually("the zone starts tasks again", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(WORKER).await > reopened_ms
     })
     .await;
     println!(
-        "back: first start seen {} ms after the acceptance",
+        "reopened: first start seen {} ms after the acceptance",
         unix_ms() - reopened_ms
     );
     load.stop().await;
 }
 
-/// An entry is cut from the platform, so it never reads that the zone is out. Its agents could
-/// go on there under its permits; it must learn of the change from the other entry, or stop.
+/// The entry must learn of the change from the other entry or stop granting permits.
 #[tokio::test]
 async fn an_entry_partitioned_from_the_platform_closes_the_evacuated_zone() {
     let (deployment, proxies) = deployment_behind_platform_proxies().await;
@@ -100,14 +99,17 @@
     sleep(Duration::from_millis(3_000)).await;
     assert_other_zones_run(&deployment).await;
     let accepted_ms = take_zone_out(&deployment, 1).await;
-    assert_no_late_starts(&deployment, accepted_ms, "an entry cut from the platform").await;
+    assert_no_late_starts(
+        &deployment,
+        accepted_ms,
+        "an entry partitioned from the platform",
+    )
+    .await;
     assert_other_zones_run(&deployment).await;
     load.stop().await;
 }
 
-/// All agents are cut from all entries, and the entries from each other, a moment before the
-/// change: nobody can be told. Permits run out everywhere; when the cut heals, the other zones
-/// work again and the zone that was taken out does not.
+/// Permits expire in all zones. After the partition only the evacuated zone stays closed.
 #[tokio::test]
 async fn agents_partitioned_from_all_entries_stop_starting_tasks() {
     let listen = [free_addr(), free_addr()];
@@ -123,17 +125,22 @@
         proxy.partition();
     }
     let accepted_ms = take_zone_out(&deployment, 0).await;
-    assert_no_late_starts(&deployment, accepted_ms, "agents cut from all entries").await;
+    assert_no_late_starts(
+        &deployment,
+        accepted_ms,
+        "agents partitioned from all entries",
+    )
+    .await;
     for proxy in &proxies {
         proxy.heal();
     }
     assert_other_zones_run(&deployment).await;
-    assert_no_late_starts(&deployment, accepted_ms, "after the cut healed").await;
+    assert_no_late_starts(&deployment, accepted_ms, "after the partition").await;
     load.stop().await;
 }
 
-/// The platform goes down right after it took the change: one entry knows of it, the other can't
-/// read it. The zone must close everywhere, and the outage must not stop the other zones.
+/// One entry knows the change, the other one cannot read it. The outage must not stop the other
+/// zones.
 #[tokio::test]
 async fn a_platform_outage_after_the_write_does_not_reopen_the_zone() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -150,8 +157,7 @@
     load.stop().await;
 }
 
-/// An agent is frozen with tasks in its hands and thaws long after its zone was taken out. It
-/// must not start what it had taken before.
+/// The agent is paused with queued tasks and resumes after the zone is closed.
 #[tokio::test]
 async fn a_resumed_agent_starts_nothing_in_the_evacuated_zone() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -165,8 +171,8 @@
     load.stop().await;
 }
 
-/// An entry is frozen while another one takes the zone out, and thaws with its old view: old
-/// readings, old words of other entries, and announcements that waited for it.
+/// The entry resumes with outdated reads, outdated messages of other entries and queued
+/// announcements.
 #[tokio::test]
 async fn a_resumed_entry_does_not_reopen_the_zone() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -183,7 +189,7 @@
     late_load.stop().await;
 }
 
-/// The entry that accepted the change is killed before it can tell anyone.
+/// The entry is killed before it can notify other processes.
 #[tokio::test]
 async fn the_zone_closes_when_the_accepting_entry_is_killed() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -195,9 +201,8 @@
     load.stop().await;
 }
 
-/// The write takes effect, its reply is lost, the entry that wrote it is killed and the platform
-/// goes down: nobody is left who knows. The other entry must not take its silence for consent,
-/// though that stops all work until the platform is back.
+/// No running process knows the change. The other entry must not treat a missing message as
+/// permission, although all work stops until the platform is available again.
 #[tokio::test]
 async fn the_zone_closes_when_the_writing_entry_and_the_platform_fail() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -217,14 +222,14 @@
     deployment.set_platform_faults(r#"{"down": true}"#).await;
     deployment.entries[0].kill();
     assert!(change.await.expect("joined").is_err(), "no reply");
-    assert_no_late_starts(&deployment, accepted_ms, "killed, and the platform down").await;
+    assert_no_late_starts(&deployment, accepted_ms, "entry killed and platform down").await;
     deployment.set_platform_faults("{}").await;
     assert_other_zones_run(&deployment).await;
-    assert_no_late_starts(&deployment, accepted_ms, "the platform is back").await;
+    assert_no_late_starts(&deployment, accepted_ms, "the platform is available again").await;
     load.stop().await;
 }
 
-/// The platform is down for eight seconds and nobody changes anything: callers must not notice.
+/// An outage of 8 s without a configuration change must not affect clients.
 #[tokio::test]
 async fn a_plain_outage_of_the_platform_does_not_stop_the_work() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -233,7 +238,7 @@
     for second in 0..8 {
         let before = load.done();
         sleep(Duration::from_millis(1_000)).await;
-        assert!(load.done() > before, "no answer in second {second}");
+        assert!(load.done() > before, "no response in second {second}");
     }
     for worker in 0..3 {
         let last_ms = deployment.last_start_ms(worker).await;
@@ -243,8 +248,7 @@
     load.stop().await;
 }
 
-/// Every call to the platform takes five seconds. Work must go on as if nothing was, as nothing
-/// on its way waits for the platform, and calls must not pile up there.
+/// No request waits for the platform, and entries limit their concurrent calls to it.
 #[tokio::test]
 async fn a_slow_platform_does_not_block_work_or_pile_up_calls() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -254,11 +258,11 @@
     for second in 0..9 {
         let before = load.done();
         sleep(Duration::from_millis(1_000)).await;
-        assert!(load.done() > before, "no answer in second {second}");
+        assert!(load.done() > before, "no response in second {second}");
     }
     let calls = deployment.platform_call_count().await - before;
-    println!("a slow store: {calls} calls of two entries in 9 s");
-    // Two entries, one call at a time, each given up after 1.5 s.
+    println!("slow platform: {calls} calls of two entries in 9 s");
+    // Two entries with one call at a time and a call timeout of 1.5 s.
     assert!(calls <= 2 * 12, "{calls} calls");
     load.stop().await;
 }
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Tests with real processes on loopback: one program for all, so that it is linked once.
+//! Tests that start real processes on loopback, linked as one program to save build time.
 
 #![allow(
     clippy::expect_used,
--- a/tests/processes/membership.rs
+++ b/tests/processes/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there, over real processes: every way of leaving, coming back, and entries that go.
+//! Membership of workers and entries on real processes: departures, failures and restarts.
 
 use {
     super::support::{Deployment, Layout, Load, eventually, unix_ms},
@@ -9,14 +9,13 @@
 
 /// The worker that leaves.
 const WORKER: usize = 1;
-/// Time after leaving from which it may get no new work, in milliseconds.
+/// Time after the departure until the last permitted start.
 const MAX_START_DELAY_MS: u64 = 7_000;
-/// For how long the load goes on after that.
+/// Time after the last permitted start during which the load continues.
 const OBSERVATION_MS: u64 = 1_500;
-/// Room for anything that should take a few seconds.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A way in which a worker leaves, and comes back.
+/// How a worker leaves and rejoins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Departure {
     Signal,
@@ -82,11 +81,11 @@
     format!("{}{}", &text[..start], &text[end..])
 }
 
-/// Leaves, watches that no new work comes, comes back, and waits for work.
+/// Checks that a worker gets no new work after its departure and works again after it rejoins.
 async fn assert_no_work_until_rejoin(departure: Departure) {
     let mut deployment = Deployment::start(Layout::default()).await;
     let load = Load::start(&deployment, &[0, 1]);
-    eventually("the worker works", WAIT_TIMEOUT, || async {
+    eventually("the worker starts tasks", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(WORKER).await > 0
     })
     .await;
@@ -102,16 +101,16 @@
 
     let rejoined_ms = unix_ms();
     departure.rejoin(&mut deployment).await;
-    eventually("the worker works again", WAIT_TIMEOUT, || async {
+    eventually("the worker starts tasks again", WAIT_TIMEOUT, || async {
         deployment.last_start_ms(WORKER).await > rejoined_ms
     })
     .await;
     let first_ms = deployment.last_start_ms(WORKER).await - rejoined_ms;
-    println!("{departure:?}: work again at most {first_ms} ms after coming back");
+    println!("{departure:?}: next start at most {first_ms} ms after rejoining");
     load.stop().await;
 }
 
-/// Names each way and the story that it stands for.
+/// One test for each departure.
 macro_rules! departures {
     ($($(#[$doc:meta])* $name:ident: $departure:expr;)+) => {$(
         $(#[$doc])*
@@ -123,21 +122,20 @@
 }
 
 departures! {
-    /// An operator stops the agent as planned. Work sent there afterwards would be refused one
-    /// by one, so its leaving is pushed to an entry and passed on.
+    /// The agent announces its planned stop to an entry, which forwards it.
     a_worker_stopped_by_signal_gets_no_new_work: Departure::Signal;
-    /// The backend server says that it leaves, while its agent stays.
+    /// The backend server announces that it leaves; its agent keeps running.
     a_worker_whose_backend_announces_leaving_gets_no_new_work: Departure::Leaving;
-    /// The hardware team takes the worker out of the configuration; nobody tells its host.
+    /// Operators remove the worker from the configuration; its host is not notified.
     a_worker_removed_from_the_configuration_gets_no_new_work: Departure::Configuration;
-    /// The backend server says nothing any more, though it would still run what it gets.
+    /// The backend server stops its heartbeats but would still run tasks.
     a_worker_with_an_unresponsive_backend_gets_no_new_work: Departure::Unresponsive;
-    /// The agent's process dies without a word.
+    /// The agent is killed without an announcement.
     a_worker_whose_agent_is_killed_gets_no_new_work: Departure::Kill;
 }
 
-/// An entry is killed. Agents that announced to it turn to another one before their permits end,
-/// and work goes on without a gap; its successor at the same address takes its place.
+/// Agents switch to another entry before their permits expire. A new process takes over the address
+/// and the row of the killed entry.
 #[tokio::test]
 async fn a_killed_entry_interrupts_no_work_and_can_be_replaced() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -146,7 +144,7 @@
     for second in 0..6 {
         let before = load.done();
         sleep(Duration::from_millis(1_000)).await;
-        assert!(load.done() > before, "no answer in second {second}");
+        assert!(load.done() > before, "no response in second {second}");
     }
     assert_eq!(deployment.roster().await, ["entry-0", "entry-1"]);
     let (client, peer) = (deployment.entry_addrs[1], deployment.entry_peers[1]);
@@ -159,8 +157,8 @@
     load.stop().await;
 }
 
-/// An entry's host is lost for good. Its row goes once it can't grant permits any more; an entry
-/// that stops as planned takes its row along at once.
+/// The row of a lost entry is removed once it can no longer grant permits. An entry that stops as
+/// planned removes its own row.
 #[tokio::test]
 async fn stopped_and_lost_entries_are_removed_from_the_roster() {
     let layout = Layout {
@@ -175,15 +173,15 @@
     let status = deployment.entries[1].wait(WAIT_TIMEOUT).await;
     assert!(status.success(), "{status}");
     assert!(!deployment.roster().await.contains(&"entry-1".to_owned()));
-    eventually("the lost entry's row is gone", WAIT_TIMEOUT, || async {
+    eventually("the lost entry's row is removed", WAIT_TIMEOUT, || async {
         deployment.roster().await == ["entry-0"]
     })
     .await;
     println!(
-        "a lost entry's row is gone after {} ms",
+        "a lost entry's row is removed after {} ms",
         unix_ms() - killed_ms
     );
-    // Its last beat was written up to two seconds before it was killed.
+    // The last heartbeat was written up to 2 s before the kill.
     let removed_after_ms = unix_ms() - killed_ms;
     assert!(
         removed_after_ms >= 7_500,
@@ -191,8 +189,7 @@
     );
 }
 
-/// A rack loses power and comes back: three agents at once. The other workers go on, and those
-/// that return get work again.
+/// Three agents fail at once and restart later.
 #[tokio::test]
 async fn a_rack_failure_interrupts_no_work_and_its_workers_rejoin() {
     let layout = Layout {
@@ -208,20 +205,20 @@
     for second in 0..5 {
         let before = load.done();
         sleep(Duration::from_millis(1_000)).await;
-        assert!(load.done() > before, "no answer in second {second}");
+        assert!(load.done() > before, "no response in second {second}");
     }
     for worker in 0..3 {
         deployment.workers[worker] = deployment.start_worker(worker);
     }
     let rejoined_ms = unix_ms();
     for worker in 0..3 {
-        eventually("a returned worker works", WAIT_TIMEOUT, || async {
+        eventually("a restarted worker starts tasks", WAIT_TIMEOUT, || async {
             deployment.last_start_ms(worker).await > rejoined_ms
         })
         .await;
     }
     println!(
-        "a rack is back at work after {} ms",
+        "all workers of the rack start tasks after {} ms",
         unix_ms() - rejoined_ms
     );
     load.stop().await;
--- a/tests/processes/operators.rs
+++ b/tests/processes/operators.rs
@@ -1,4 +1,4 @@
-//! The operator's commands through the real program: what they print and how they exit.
+//! Output and exit codes of the operator's command line.
 
 use {
     super::support::{Deployment, Layout, TOKEN, eventually, get, try_request},
@@ -11,10 +11,10 @@
     },
 };
 
-/// An operator who owns the zones alone; the token is the name.
+/// An operator with the section `zones` only; the name is also the token.
 const NIGHT_SHIFT: &str = "night-shift";
 
-/// An operator's shell: an entry, and a folder for documents.
+/// Environment of an operator: the address of an entry and a folder for documents.
 struct Shell {
     entry: String,
     folder: PathBuf,
@@ -43,7 +43,7 @@
         self.command(token, args).output().expect("program")
     }
 
-    /// Starts a command that the test waits for later.
+    /// Starts a command without waiting for it.
     fn start(&self, token: &str, args: &[&str]) -> Child {
         self.command(token, args)
             .stdout(Stdio::null())
@@ -52,7 +52,7 @@
             .expect("program")
     }
 
-    /// Runs a command that must end with this code; returns what it printed.
+    /// Runs a command that must exit with this code; returns stdout, or stderr after a failure.
     fn expect(&self, code: i32, token: &str, args: &[&str]) -> String {
         let output = self.run(token, args);
         let printed = if code == 0 {
@@ -91,7 +91,7 @@
     Deployment::start(layout).await
 }
 
-/// A worker that has been ordered, in a rack that is not there yet.
+/// A declared worker that has not arrived yet.
 const ORDERED_WORKER: &str = "[capacity.workers.w12]\navailability_zone = \"keflavik\"\nrack = \"r4\"\n\
                        slots = 8\nmemory_mb = 131072\narrived = false\n";
 
@@ -186,8 +186,8 @@
     assert_eq!(short[1]["sections"]["zones"]["author"], NIGHT_SHIFT);
 }
 
-/// An operator's file is older than the last change of its section. The operator must hear who
-/// changed it, when and in which version, and be able to go back to that or the older one.
+/// The error names author, time and version of the conflicting change, and each older version can
+/// be applied again.
 #[tokio::test]
 async fn a_conflict_names_its_author_and_a_rollback_is_a_new_version() {
     let deployment = deployment().await;
@@ -271,19 +271,22 @@
     );
     shell.expect(3, TOKEN, &["--entry", "127.0.0.1:1", "show"]);
     deployment.set_platform_faults("{}").await;
-    eventually("the platform is back", Duration::from_secs(30), || async {
-        let entry = deployment.entry_addrs[0];
-        try_request("GET", entry, "/v1/config/history", &[], "")
-            .await
-            .is_ok_and(|reply| reply.status == 200)
-    })
+    eventually(
+        "the platform is available again",
+        Duration::from_secs(30),
+        || async {
+            let entry = deployment.entry_addrs[0];
+            try_request("GET", entry, "/v1/config/history", &[], "")
+                .await
+                .is_ok_and(|reply| reply.status == 200)
+        },
+    )
     .await;
     shell.expect(0, TOKEN, &["apply", &edited]);
 }
 
-/// The platform makes a write, loses its reply and goes down. Nobody can know yet whether the
-/// change was accepted, and the operator must not hear that it was or that it wasn't. Once the
-/// platform is back, the history tells, and applying the same file again changes nothing.
+/// The platform applies a write, its response is lost, and the platform fails. The outcome is
+/// reported as unknown until the platform is available again.
 #[tokio::test]
 async fn an_unknown_outcome_is_reported_and_resolved_by_applying_again() {
     let deployment = deployment().await;
@@ -295,7 +298,7 @@
         .set_platform_faults(r#"{"lose_write_replies": 2}"#)
         .await;
     let applying = shell.start(TOKEN, &["apply", &edited]);
-    // The object's reply is lost first, then the transaction's.
+    // The response to the object's write is lost first, then the one to the transaction.
     eventually("the head has moved", Duration::from_secs(30), || async {
         head_row(&deployment).await != before
     })
@@ -321,7 +324,7 @@
     );
 }
 
-/// The configuration's head as the platform holds it.
+/// The configuration's head row in the platform's store.
 async fn head_row(deployment: &Deployment) -> Value {
     let path = "/table/rows/config-head";
     get(deployment.platform_addr, path).await.json()
--- a/tests/processes/planned_stop.rs
+++ b/tests/processes/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: SIGTERM in the middle of work.
+//! Planned stops (SIGTERM) during work.
 
 use {
     super::support::{Deployment, Layout, Reply, eventually, get, job_body, try_request},
@@ -10,7 +10,7 @@
 };
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The agents' `stop_limit_ms` in these tests, and some room for a busy machine.
+/// The agents' `stop_limit_ms` and a margin for a busy machine.
 const STOP_TIMEOUT: Duration = Duration::from_secs(25);
 
 fn submit_in_background(entry: SocketAddr, ticket: &str, body: &str) -> JoinHandle<Reply> {
@@ -30,7 +30,7 @@
     .await;
 }
 
-/// Asks an agent to stop and waits for its end.
+/// Stops an agent with SIGTERM and waits until it exits.
 async fn stop_agent(deployment: &mut Deployment, number: usize) {
     let started_at = Instant::now();
     let agent = &mut deployment.workers[number].agent;
@@ -40,7 +40,7 @@
     assert!(status.success(), "{status}");
 }
 
-/// The worker whose agent is home of the only job that runs.
+/// Returns the worker whose agent is the home of the only running job.
 async fn home_of_running(deployment: &Deployment) -> usize {
     for (number, worker) in deployment.workers.iter().enumerate() {
         let metrics = get(worker.agent_http, "/metrics").await.body;
@@ -51,10 +51,8 @@
     panic!("no home runs a job");
 }
 
-/// A worker is drained for a kernel update while its agent is home of a job of many seconds. The
-/// job's records move to another agent: the client gets its whole answer, also when it asks again
-/// later through the other entry, and no task starts twice. A ticket that the leaving home had
-/// granted and nobody had used still works, once.
+/// The records move to another agent: the job completes, and tickets that the stopped home granted
+/// can still be used once.
 #[tokio::test]
 async fn a_stopped_home_hands_over_its_jobs_and_tickets() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -81,7 +79,7 @@
     assert_eq!(deployment.assert_no_double_start().await, 32);
 }
 
-/// Tickets begin with their home's identity, so those of one home share their first letters.
+/// Requests tickets until one has the same home. Tickets begin with the identity of their home.
 async fn ticket_of_same_home(deployment: &Deployment, ticket: &str) -> String {
     for _ in 0..200 {
         let other = deployment.ticket(0).await;
@@ -92,7 +90,7 @@
     panic!("no other ticket of the home of {ticket}");
 }
 
-/// Homes are drained one after the other: records that were handed over once are handed over again.
+/// Records that were handed over before are handed over again.
 #[tokio::test]
 async fn records_survive_consecutive_planned_stops() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -115,8 +113,7 @@
     assert_eq!(deployment.assert_no_double_start().await, 36);
 }
 
-/// A worker's agent is stopped while its backend server runs tasks of another home. They finish,
-/// their outcomes arrive, and only then the agent is gone.
+/// The agent reports the outcomes of its running tasks before it exits.
 #[tokio::test]
 async fn a_stopped_runner_finishes_its_tasks() {
     let mut deployment = Deployment::start(Layout::default()).await;
@@ -131,8 +128,7 @@
     assert_eq!(deployment.assert_no_double_start().await, 12);
 }
 
-/// An entry is stopped while a client waits for a long job: the client still gets its answer on
-/// the connection it has, and then the entry is gone.
+/// Clients receive pending responses on their open connections before the entry exits.
 #[tokio::test]
 async fn a_stopped_entry_completes_its_pending_requests() {
     let mut deployment = Deployment::start(Layout::default()).await;
--- a/tests/processes/policy.rs
+++ b/tests/processes/policy.rs
@@ -1,12 +1,11 @@
-//! The policy's promises to clients, with real processes: what is refused, and how.
+//! Admission: which jobs are rejected, and with which reason.
 
 use {
     super::support::{Deployment, Layout, job_body},
     serde_json::Value,
 };
 
-/// A client declares more memory than any worker has, or an accelerator where there is none. The
-/// job would wait for a worker that never comes; its client hears so at once, and nothing runs.
+/// The job would wait for a worker that never joins.
 #[tokio::test]
 async fn a_task_that_fits_no_worker_is_rejected_immediately() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -27,8 +26,8 @@
     assert_eq!(deployment.assert_no_double_start().await, 0);
 }
 
-/// Ten times more comes than the workers can do. What can't be done in time is refused with a
-/// time to come back and starts nowhere; what is taken in is done.
+/// The load is ten times the capacity. Jobs that would miss their deadline are rejected and start
+/// nothing.
 #[tokio::test]
 async fn overload_is_rejected_with_a_retry_delay() {
     let deployment = Deployment::start(Layout::default()).await;
@@ -58,8 +57,8 @@
             rejected += 1;
         }
     }
-    println!("{done} done, {rejected} refused of 400");
-    assert!(done > 0 && rejected > 0, "{done} done, {rejected} refused");
+    println!("{done} done, {rejected} rejected of 400");
+    assert!(done > 0 && rejected > 0, "{done} done, {rejected} rejected");
     let started = deployment.assert_no_double_start().await;
     assert!(started <= (400 - rejected) * 8, "{started} started");
 }
--- a/tests/processes/programs.rs
+++ b/tests/processes/programs.rs
@@ -1,4 +1,4 @@
-//! The programs as their users start them: help, settings, exit codes, logs.
+//! Command lines, settings, exit codes and log formats of all programs.
 
 use {
     super::support::{Deployment, Layout, TOKEN},
@@ -42,8 +42,7 @@
     }
 }
 
-/// A service is started with a settings file that has several faults. Its operator wants to see
-/// all of them at once, with line and field, and an exit code that says "settings".
+/// All faults are reported at once, with line and field.
 #[test]
 fn bad_settings_exit_with_code_2_and_list_all_faults() {
     let path = file(
@@ -71,7 +70,7 @@
         &["check", "--kind", "agent", path],
     );
     assert_eq!(checked.status.code(), Some(2));
-    assert_eq!(stderr(&checked), text, "check says the same");
+    assert_eq!(stderr(&checked), text, "check prints the same faults");
     let missing = run(
         env!("CARGO_BIN_EXE_rattanslip-entry"),
         &["--settings", "/no/such/file.toml"],
--- a/tests/processes/site.rs
+++ b/tests/processes/site.rs
@@ -1,4 +1,4 @@
-//! The path on a site with a platform's store: clients, entry, agent, worker.
+//! A site with the platform's store: clients, entries, agents and workers.
 
 use {
     crate::support::{Site, eventually, get, request, site_config, site_job, submit_to},
@@ -6,7 +6,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Tasks that were at work at two workers at once, or were begun anew before their end was told.
+/// Tasks that began more than once.
 fn tasks_begun_twice(site: &Site) -> Vec<String> {
     let mut begun: BTreeMap<String, usize> = BTreeMap::new();
     for (_, event, task) in site.run_events() {
@@ -21,7 +21,8 @@
         .collect()
 }
 
-/// Waits until an entry answers a job with success; before it has met an agent it refuses short ones.
+/// Waits until an entry completes a job. Before its first contact with an agent it rejects short
+/// jobs.
 async fn wait_until_serving(site: &Site, entry: usize) {
     let what = format!("entry {entry} serves");
     eventually(&what, Duration::from_secs(10), || async {
@@ -88,8 +89,7 @@
     assert!(site.run_events().is_empty());
 }
 
-/// An operator adds and takes away a route. Clients of both entries see each change within seconds,
-/// also when the store forgets its history in between.
+/// The entries apply the change also after the store has discarded its change history.
 #[tokio::test]
 async fn a_route_change_comes_into_force_at_all_entries() {
     let site = Site::start("change", 2, 1).await;
@@ -113,8 +113,7 @@
     }
 }
 
-/// An agent's process is killed while a job runs and starts again. The worker's runs lapse, the
-/// job's tasks start again, none of them while its first run is at work, and the client gets its answer.
+/// The leases of the worker's runs expire, and the tasks start again afterwards.
 #[tokio::test]
 async fn a_job_completes_after_its_agent_is_killed() {
     let mut site = Site::start("agent", 1, 2).await;
@@ -131,8 +130,8 @@
     assert_eq!(reply.body, r#"{"state":"completed"}"#);
 }
 
-/// Two of three parts of the store in which entries are listed are away when an agent starts anew. It finds the
-/// entries all the same, and clients get their answers. With one list, in one part, it found none until the store was whole.
+/// Each of the three store parts has a copy of the list of entries; two of them are unavailable
+/// when the agent restarts.
 #[tokio::test]
 async fn an_agent_finds_the_entries_while_store_parts_are_unavailable() {
     let mut site = Site::start("parts", 2, 1).await;
@@ -144,8 +143,8 @@
     }
 }
 
-/// The list of entries loses an entry and has it again, as when its copies differ for a moment, while a job runs. The agent keeps
-/// the one session that it has; a second one used to tell the entry that nothing runs, and the job's tasks began twice.
+/// An entry is removed from the list and added again while a job runs. A second session would
+/// report no runs, and the tasks would begin twice.
 #[tokio::test]
 async fn a_relisted_entry_keeps_its_session() {
     let site = Site::start("relisted", 1, 1).await;
@@ -154,7 +153,7 @@
     let submitting = tokio::spawn(submit_to(entry, "00000000000000e1", site_job(3, 4_000)));
     for listed in [false, true] {
         site.set_entry_listed(0, listed).await;
-        // Longer than an agent waits after a change before it reads the list.
+        // Longer than the delay after which an agent reads a changed list.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
     let reply = submitting.await.expect("task").expect("reply");
@@ -164,8 +163,7 @@
     assert_eq!(connections, 1);
 }
 
-/// The store turns an agent's host away when the agent starts anew. It begins with the entries that its settings name,
-/// and clients get their answers. Without them its worker stood idle until the store served it again.
+/// The agent restarts while the store is unavailable and connects to the entries in its settings.
 #[tokio::test]
 async fn an_agent_rejected_by_the_store_connects_to_its_seeds() {
     let mut site = Site::start("seeds", 1, 1).await;
@@ -175,8 +173,7 @@
     wait_until_serving(&site, 0).await;
 }
 
-/// The store falls silent for seconds. Jobs are answered as before, and the change that the
-/// operator made meanwhile is in force soon after the store's return.
+/// The entry also logs the outage and its end.
 #[tokio::test]
 async fn jobs_complete_during_a_store_outage() {
     let site = Site::start("store", 1, 2).await;
@@ -186,22 +183,20 @@
         let reply = site.submit(0, &id, &site_job(2, 100)).await.expect("reply");
         assert_eq!(reply.status, 200);
     }
-    eventually(
-        "the loss is written down",
-        Duration::from_secs(10),
-        || async { site.log("entry-0").contains("\"event\":\"store_lost\"") },
-    )
+    eventually("the outage is logged", Duration::from_secs(10), || async {
+        site.log("entry-0").contains("\"event\":\"store_lost\"")
+    })
     .await;
     site.set_store_faults(&json!({})).await;
     eventually(
-        "the return is written down",
+        "the end of the outage is logged",
         Duration::from_secs(10),
         || async { site.log("entry-0").contains("\"event\":\"store_regained\"") },
     )
     .await;
 }
 
-/// An entry is told to stop while a job runs. The client gets its answer, and the process ends by itself.
+/// An entry that is stopped during a job completes it before it exits.
 #[tokio::test]
 async fn a_planned_stop_interrupts_no_job() {
     let mut site = Site::start("stop", 2, 2).await;
@@ -216,8 +211,7 @@
     assert!(status.success());
 }
 
-/// A worker's reports reach the agent damaged: no service, a number in place of a text, bytes that are no
-/// JSON. They are counted and left aside, and the worker that is known goes on.
+/// Malformed reports are rejected with 400, and the known worker keeps working.
 #[tokio::test]
 async fn a_malformed_worker_report_is_rejected() {
     let site = Site::start("reports", 1, 1).await;
@@ -237,13 +231,13 @@
     assert_eq!(reply.status, 200);
 }
 
-/// A client's connection breaks while its job runs. Nobody waits any more, so the runs are stopped at once.
+/// Runs that no client waits for are stopped immediately.
 #[tokio::test]
 async fn a_client_disconnect_stops_its_job() {
     let site = Site::start("leaves", 1, 1).await;
     let job = site_job(2, 5_000);
     let submitting = site.submit(0, "00000000000000f1", &job);
-    // Dropping the call closes its connection.
+    // Dropping the future closes the connection.
     let timed_out = tokio::time::timeout(Duration::from_millis(600), submitting).await;
     assert!(timed_out.is_err());
     eventually("the runs are stopped", Duration::from_secs(3), || async {
--- a/tests/processes/support/deployment.rs
+++ b/tests/processes/support/deployment.rs
@@ -1,4 +1,4 @@
-//! One deployment of real processes on loopback.
+//! A deployment of real processes on loopback.
 
 use {
     super::{Process, Reply, eventually, free_addr, get, request},
@@ -6,36 +6,36 @@
     std::{collections::BTreeMap, fmt::Write, fs, net::SocketAddr, path::PathBuf, time::Duration},
 };
 
-/// The service of every deployment.
+/// Name of the only service.
 pub const SERVICE: &str = "crew-share";
 /// The operator's token.
 pub const TOKEN: &str = "test-token";
-/// Availability zones, filled with workers in turn.
+/// Availability zones; workers are assigned round-robin.
 pub const ZONES: [&str; 3] = ["grindavik", "keflavik", "hafnarfjordur"];
 
-/// What an operator's request carries.
+/// Headers of the operator's requests.
 const OPERATOR_HEADERS: [(&str, &str); 2] = [
     ("authorization", "Bearer test-token"),
     ("content-type", "application/json"),
 ];
 
-/// What to start.
+/// Size and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct Layout {
     pub entries: usize,
     pub workers: usize,
     pub slots: u16,
-    /// Lines added to each agent's settings.
+    /// TOML appended to each agent's settings.
     pub agent_settings: String,
-    /// Lines added to each entry's settings, before its tables.
+    /// TOML inserted into each entry's settings, before its tables.
     pub entry_settings: String,
-    /// Addresses that entries reach agents at, by worker name; for proxies.
+    /// Listen address and advertised address of agents by worker name; for proxies.
     pub peer_addrs: BTreeMap<String, (SocketAddr, SocketAddr)>,
-    /// Where the platform listens, if a proxy has to know before.
+    /// Listen address of the platform, if a proxy needs it in advance.
     pub platform_addr: Option<SocketAddr>,
-    /// Addresses that single entries reach the platform at; for proxies.
+    /// Platform address of single entries by number; for proxies.
     pub entry_platforms: BTreeMap<usize, SocketAddr>,
-    /// Where single entries listen for peers and where peers reach them; for proxies.
+    /// Listen address and advertised address of single entries by number; for proxies.
     pub entry_peer_addrs: BTreeMap<usize, (SocketAddr, SocketAddr)>,
 }
 
@@ -66,7 +66,7 @@
     pub backend_addr: SocketAddr,
 }
 
-/// A running deployment; everything is killed when dropped.
+/// A running deployment; its processes are killed on drop.
 #[derive(Debug)]
 pub struct Deployment {
     pub platform: Process,
@@ -79,7 +79,7 @@
     folder: PathBuf,
 }
 
-/// A job of `tasks` tasks of `work_ms` each; task N answers "share N".
+/// Returns a job with `tasks` tasks of `work_ms` each; task N outputs "share N".
 pub fn job_body(tasks: usize, work_ms: u64, deadline_ms: u64) -> String {
     let tasks: Vec<Value> = (0..tasks)
         .map(|index| json!({ "input": format!("{work_ms} share {index}") }))
@@ -88,7 +88,8 @@
 }
 
 impl Deployment {
-    /// Starts everything, applies a configuration and waits until all workers are seen.
+    /// Starts all processes, applies the initial configuration and waits until all workers are
+    /// known.
     pub async fn start(layout: Layout) -> Self {
         static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
@@ -123,7 +124,7 @@
         deployment
     }
 
-    /// The document that a deployment begins with.
+    /// Returns the initial configuration document.
     pub fn document(&self) -> String {
         let mut text = String::new();
         for zone in ZONES {
@@ -150,7 +151,7 @@
         text
     }
 
-    /// Adds an entry that is started at once.
+    /// Starts a further entry.
     pub fn add_entry(&mut self) {
         let number = self.entries.len();
         let client = free_addr();
@@ -169,7 +170,7 @@
         self.entry_peers.push(advertised_addr);
     }
 
-    /// Starts an entry's process at these addresses.
+    /// Starts the process of an entry at these addresses.
     pub fn start_entry(&self, number: usize, client: SocketAddr, peer: SocketAddr) -> Process {
         let platform = self.layout.entry_platforms.get(&number);
         let advertised_addr = self.layout.entry_peer_addrs.get(&number);
@@ -190,7 +191,7 @@
         )
     }
 
-    /// Starts the agent and the backend server of one worker.
+    /// Starts the agent and the backend server of a worker.
     pub fn start_worker(&self, number: usize) -> WorkerHandle {
         let name = worker_name(number);
         let (peer_listen, peer_addr) =
@@ -253,7 +254,7 @@
         Process::start(program, &["--settings", file], &log)
     }
 
-    /// The log of a process, by its name such as `entry-0` or `agent-w01`.
+    /// Returns the log of a process by its name, such as `entry-0` or `agent-w01`.
     pub fn log(&self, name: &str) -> String {
         fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
     }
@@ -270,10 +271,10 @@
         .await;
     }
 
-    /// Waits until every entry sees this many workers with a backend server.
+    /// Waits until each entry is ready and knows this many workers with a backend server.
     pub async fn wait_for_workers(&self, count: usize) {
         for entry in &self.entry_addrs {
-            eventually("all workers are seen", Duration::from_secs(10), || async {
+            eventually("all workers are known", Duration::from_secs(10), || async {
                 let Ok(reply) = super::try_request("GET", *entry, "/v1/workers", &[], "").await
                 else {
                     return false;
@@ -292,7 +293,7 @@
         }
     }
 
-    /// A fresh ticket from an entry.
+    /// Requests a ticket from an entry.
     pub async fn ticket(&self, entry: usize) -> String {
         let reply = request("POST", self.entry_addrs[entry], "/v1/tickets", &[], "").await;
         assert_eq!(reply.status, 200, "{}", reply.body);
@@ -302,7 +303,7 @@
             .to_owned()
     }
 
-    /// Submits a job under a ticket and waits for its answer.
+    /// Submits a job under a ticket and waits for its outcome.
     pub async fn submit(&self, entry: usize, ticket: &str, body: &str) -> Reply {
         let headers = [("rattanslip-ticket", ticket)];
         request("POST", self.entry_addrs[entry], "/v1/jobs", &headers, body).await
@@ -320,7 +321,7 @@
         request(method, entry, path, &OPERATOR_HEADERS, body).await
     }
 
-    /// Switches faults of a backend server's stand-in on or off.
+    /// Replaces the injected faults of a backend server.
     pub async fn set_backend_faults(&self, worker: usize, faults: &str) {
         let addr = self.workers[worker].backend_addr;
         let headers = [("content-type", "application/json")];
@@ -328,14 +329,14 @@
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// Switches faults of the platform's stand-in on or off.
+    /// Replaces the injected faults of the platform.
     pub async fn set_platform_faults(&self, faults: &str) {
         let headers = [("content-type", "application/json")];
         let reply = request("POST", self.platform_addr, "/faults", &headers, faults).await;
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// How often each task was started, over all backend servers that still answer.
+    /// Number of starts of each task, over all backend servers that respond.
     pub async fn start_counts(&self) -> BTreeMap<String, usize> {
         let mut starts = BTreeMap::new();
         for worker in &self.workers {
@@ -352,7 +353,7 @@
         starts
     }
 
-    /// Fails if any task was started more than once; returns how many were started.
+    /// Panics if a task was started more than once; returns the number of started tasks.
     pub async fn assert_no_double_start(&self) -> usize {
         let starts = self.start_counts().await;
         let doubled: Vec<_> = starts.iter().filter(|(_, count)| **count > 1).collect();
@@ -364,7 +365,7 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         if !std::thread::panicking() {
-            // Logs of a failed test stay for whoever looks into it.
+            // Logs of a failed test are kept for debugging.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/tests/processes/support/http.rs
+++ b/tests/processes/support/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as the tests' clients speak it.
+//! HTTP client of the tests.
 
 use {
     bytes::Bytes,
@@ -9,7 +9,7 @@
     std::net::SocketAddr,
 };
 
-/// A reply read to its end.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -18,29 +18,29 @@
 }
 
 impl Reply {
-    /// A header as text, empty if absent.
+    /// Value of a header; empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
             .map_or("", |value| value.to_str().expect("text header"))
     }
 
-    /// The verdict.
+    /// Value of the header `rattanslip-verdict`.
     pub fn verdict(&self) -> &str {
         self.header("rattanslip-verdict")
     }
 
-    /// The verdict's reason.
+    /// Value of the header `rattanslip-reason`.
     pub fn reason(&self) -> &str {
         self.header("rattanslip-reason")
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("JSON body")
     }
 
-    /// The outputs of a done job's tasks.
+    /// Outputs of all tasks of a job; `<none>` for a task without an output.
     pub fn outputs(&self) -> Vec<String> {
         self.json()["tasks"]
             .as_array()
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends a request on a connection of its own; an error if no whole reply came.
+/// Sends a request on a new connection; returns an error if the response is incomplete.
 pub async fn try_request(
     method: &str,
     to: SocketAddr,
@@ -84,7 +84,7 @@
     })
 }
 
-/// Sends a request that must be answered.
+/// Sends a request; panics without a complete response.
 pub async fn request(
     method: &str,
     to: SocketAddr,
@@ -97,7 +97,7 @@
         .expect("reply")
 }
 
-/// Reads a page that must be there.
+/// Sends a GET request; panics without a complete response.
 pub async fn get(to: SocketAddr, path: &str) -> Reply {
     request("GET", to, path, &[], "").await
 }
--- a/tests/processes/support/load.rs
+++ b/tests/processes/support/load.rs
@@ -1,4 +1,4 @@
-//! A steady stream of short requests, and what the backend servers and the platform saw of it.
+//! A steady load of short requests, and queries to the backend servers and the platform.
 
 use {
     super::{Deployment, Reply, SERVICE, TOKEN, get, request, try_request},
@@ -14,14 +14,13 @@
     tokio::{task::JoinHandle, time::sleep},
 };
 
-/// Clients of each entry, each with one request at a time.
+/// Clients per entry; each has one request in flight.
 const CLIENTS: usize = 4;
-/// Pause of a client between its requests.
+/// Pause between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// Patience of a client with one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Milliseconds since 1970, as the backend servers record starts.
+/// Current Unix time in milliseconds, the clock of the recorded starts.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -29,7 +28,7 @@
     u64::try_from(since.as_millis()).expect("small")
 }
 
-/// Takes a zone out; an error if the entry gave no reply.
+/// Evacuates a zone; returns an error if the response is incomplete.
 pub async fn zone_out(entry: SocketAddr, zone: &str) -> Result<Reply, String> {
     let authorization = format!("Bearer {TOKEN}");
     let headers = [("authorization", authorization.as_str())];
@@ -52,7 +51,7 @@
 }
 
 impl Load {
-    /// Starts clients of these entries.
+    /// Starts [`CLIENTS`] clients for each of these entries.
     pub fn start(deployment: &Deployment, entries: &[usize]) -> Self {
         let (done, stop) = (Arc::default(), Arc::default());
         let clients = entries
@@ -67,12 +66,12 @@
         }
     }
 
-    /// Requests answered as done so far.
+    /// Number of successful requests so far.
     pub fn done(&self) -> usize {
         self.done.load(Ordering::SeqCst)
     }
 
-    /// Ends the clients.
+    /// Stops the clients and waits for them.
     pub async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients {
@@ -94,7 +93,8 @@
 }
 
 impl Deployment {
-    /// When a worker's backend server last started a task; zero if it never did or isn't there.
+    /// Unix time of the last task start on a worker's backend server; 0 if there was none or the
+    /// backend server is unavailable.
     pub async fn last_start_ms(&self, worker: usize) -> u64 {
         let backend = self.workers[worker].backend_addr;
         let Ok(reply) = try_request("GET", backend, "/starts", &[], "").await else {
@@ -108,13 +108,13 @@
         times.max().unwrap_or(0)
     }
 
-    /// Whether the platform's table has this row, whatever its faults.
+    /// Whether the platform's table has this row; not affected by injected faults.
     pub async fn has_platform_row(&self, key: &str) -> bool {
         let reply = get(self.platform_addr, &format!("/table/rows/{key}")).await;
         reply.status == 200
     }
 
-    /// The entries that have a row on the roster, in the order of their names.
+    /// Sorted names of the entries that have a row on the roster.
     pub async fn roster(&self) -> Vec<String> {
         let reply = get(self.platform_addr, "/table/scan/entries-").await;
         let rows = reply.json();
@@ -127,7 +127,7 @@
         names
     }
 
-    /// Calls that the platform has seen.
+    /// Number of calls that the platform has received.
     pub async fn platform_call_count(&self) -> u64 {
         let calls = request("GET", self.platform_addr, "/calls", &[], "").await;
         let calls = calls.json();
--- a/tests/processes/support/mod.rs
+++ b/tests/processes/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the process tests share: a deployment on loopback, an HTTP client, a faulty proxy.
+//! Support of the process tests: deployments on loopback, an HTTP client and a TCP proxy.
 
 #![allow(
     dead_code,
@@ -26,7 +26,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Waits for a condition; fails loudly after `limit`.
+/// Polls a condition until it holds; panics after `timeout`.
 pub async fn eventually<F>(what: &str, timeout: Duration, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
--- a/tests/processes/support/port.rs
+++ b/tests/processes/support/port.rs
@@ -1,4 +1,4 @@
-//! Ports for the programs that tests start.
+//! Listening ports of the programs that tests start.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -8,18 +8,16 @@
     },
 };
 
-/// The first port of all slots.
+/// Lowest port of all slots; below the ephemeral range (32768 and up).
 const FIRST_PORT: u16 = 10_000;
-/// Ports of one test program; its first one is held while it runs, as its claim to the rest.
+/// Ports of one test program. It holds a listener on the first one to reserve the others.
 const PORTS_PER_SLOT: u16 = 400;
-/// Test programs that can run at a time.
+/// Maximum number of concurrent test programs.
 const SLOT_COUNT: u16 = 25;
 
-/// A port on which nothing listens now.
-///
-/// Guards against "address already in use" at a program's start: a port that the system picks
-/// may be given to an outgoing connection before the program listens on it. These lie below the
-/// range that the system picks from (32768 and up), and no other test program uses the slot.
+/// Returns an address with a port on which nothing listens. An ephemeral port could be assigned to
+/// an outgoing connection before the program binds it, so the ports come from a reserved range
+/// below.
 pub fn free_addr() -> SocketAddr {
     static SLOT: OnceLock<(u16, TcpListener)> = OnceLock::new();
     static NEXT: AtomicU16 = AtomicU16::new(0);
--- a/tests/processes/support/process.rs
+++ b/tests/processes/support/process.rs
@@ -1,4 +1,4 @@
-//! A child process, ended by its own id.
+//! A child process that is signalled by its id.
 
 use {
     rustix::process::{Pid, Signal, kill_process},
@@ -17,7 +17,7 @@
 }
 
 impl Process {
-    /// Starts a program of this package with its output in `log`.
+    /// Starts a program and writes its stdout and stderr to `log`.
     pub fn start(program: &str, args: &[&str], log: &Path) -> Self {
         let output = File::create(log).expect("log file");
         let child = Command::new(program)
@@ -34,28 +34,28 @@
         kill_process(Pid::from_raw(pid).expect("process id"), signal).expect("signal");
     }
 
-    /// Freezes the process (SIGSTOP).
+    /// Pauses the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes a paused process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks for a planned stop (SIGTERM).
+    /// Requests a planned stop (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills the process (SIGKILL) and waits until it is gone.
+    /// Kills the process (SIGKILL) and reaps it.
     pub fn kill(&mut self) {
         self.child.kill().expect("kill");
         self.child.wait().expect("wait");
     }
 
-    /// Waits for the process's own end.
+    /// Waits until the process exits by itself.
     pub async fn wait(&mut self, timeout: Duration) -> ExitStatus {
         let started_at = Instant::now();
         loop {
@@ -73,7 +73,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may be gone already.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/processes/support/proxy.rs
+++ b/tests/processes/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that can lose track of its connections, or cut them.
+//! A TCP proxy that can blackhole its open connections or partition its two ends.
 
 use {
     std::{
@@ -18,10 +18,9 @@
     },
 };
 
-/// Forwards connections; those opened before a fault are lost, new ones work.
+/// Forwards TCP connections. A fault affects the connections that are open at that time.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
     pub addr: SocketAddr,
     blackholed_below: watch::Sender<u64>,
     reject_new: watch::Sender<bool>,
@@ -29,7 +28,7 @@
 }
 
 impl Proxy {
-    /// Listens on a port of its own and forwards to `to`.
+    /// Listens on an ephemeral port and forwards connections to `to`.
     pub async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
         let addr = listener.local_addr().expect("address");
@@ -54,19 +53,19 @@
         }
     }
 
-    /// From now on swallows the bytes of all connections open now, without closing them.
+    /// Discards all further bytes of the open connections without closing them.
     pub fn blackhole_open_connections(&self) {
         let connection_count = self.connection_count.load(Ordering::SeqCst);
         self.blackholed_below.send_replace(connection_count);
     }
 
-    /// Swallows everything and closes new connections at once: the two ends are cut apart.
+    /// Blackholes the open connections and closes new ones immediately.
     pub fn partition(&self) {
         self.reject_new.send_replace(true);
         self.blackhole_open_connections();
     }
 
-    /// Lets new connections through again.
+    /// Accepts new connections again.
     pub fn heal(&self) {
         self.reject_new.send_replace(false);
     }
@@ -81,7 +80,7 @@
     let Ok(target) = TcpStream::connect(to).await else {
         return;
     };
-    // Small frames must not wait for each other's acknowledgement.
+    // Small frames must not be delayed by Nagle's algorithm.
     let _ = socket.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let (from_client, to_client) = socket.into_split();
@@ -103,7 +102,7 @@
         let read = from.read(&mut buffer).await.unwrap_or(0);
         if number < *blackholed_receiver.borrow() {
             if read == 0 {
-                // Not even the close gets through.
+                // The close is not forwarded either.
                 std::future::pending::<()>().await;
             }
             continue;
--- a/tests/processes/support/site.rs
+++ b/tests/processes/support/site.rs
@@ -1,4 +1,4 @@
-//! A site of real processes on loopback: the published store and workers, entries and agents.
+//! A site of real processes on loopback: stand-ins of store and workers, entries and agents.
 
 use {
     super::{Process, Reply, eventually, free_addr, request, try_request},
@@ -12,9 +12,9 @@
     },
 };
 
-/// Host that the site's clients name.
+/// Host in the clients' requests.
 pub const HOST: &str = "shares.example";
-/// Their path.
+/// Path prefix of the clients' requests.
 pub const PREFIX: &str = "/shares/";
 
 /// An entry of a site.
@@ -28,13 +28,13 @@
     settings: PathBuf,
 }
 
-/// A worker of a site and the agent beside it.
+/// A worker of a site and its agent.
 #[derive(Debug)]
 pub struct SiteWorker {
     pub worker: Process,
     pub agent: Process,
     pub addr: SocketAddr,
-    /// Where the agent takes the worker's reports.
+    /// Address at which the agent receives the worker's reports.
     pub report_addr: SocketAddr,
     pub log: PathBuf,
     settings: PathBuf,
@@ -110,7 +110,7 @@
         assert_eq!(reply.status, 200);
     }
 
-    /// Switches faults of the store on.
+    /// Replaces the injected faults of the store.
     pub async fn set_store_faults(&self, faults: &Value) {
         request("POST", self.store, "/faults", &[], &faults.to_string()).await;
     }
@@ -141,7 +141,7 @@
         });
     }
 
-    /// Kills an entry and starts it again with the same settings.
+    /// Kills an entry and restarts it with the same settings.
     pub fn restart_entry(&mut self, number: usize) {
         let entry = &mut self.entries[number];
         entry.process.kill();
@@ -192,14 +192,14 @@
         });
     }
 
-    /// Kills an agent and starts it again with the same settings.
+    /// Kills an agent and restarts it with the same settings.
     pub fn restart_agent(&mut self, number: usize) {
         let worker = &mut self.workers[number];
         worker.agent.kill();
         worker.agent = start_agent(&worker.settings, &self.folder);
     }
 
-    /// Gives an agent an entry to begin with where it can't read the list; in force when it starts anew.
+    /// Adds an entry to an agent's seeds; effective after the agent's restart.
     pub fn set_seed(&self, agent: usize, entry: usize) {
         let settings = &self.workers[agent].settings;
         let text = fs::read_to_string(settings).expect("settings");
@@ -207,7 +207,7 @@
         fs::write(settings, text + &seed).expect("settings");
     }
 
-    /// Puts an entry into all copies of the list, or takes it off.
+    /// Adds an entry to all copies of the list of entries or removes it.
     pub async fn set_entry_listed(&self, entry: usize, listed: bool) {
         let key = self.entries[entry].link_addr.to_string();
         for part in ["0", "1", "2"] {
@@ -219,12 +219,12 @@
         }
     }
 
-    /// Hands a job in and waits for its answer.
+    /// Submits a job and waits for its outcome.
     pub async fn submit(&self, entry: usize, id: &str, body: &Value) -> Result<Reply, String> {
         submit_to(self.entries[entry].client_addr, id, body.clone()).await
     }
 
-    /// Beginnings and ends of runs at all workers: worker, event, task.
+    /// Begin and end events of runs at all workers: worker number, event, task.
     pub fn run_events(&self) -> Vec<(usize, String, String)> {
         let mut runs = Vec::new();
         for (number, worker) in self.workers.iter().enumerate() {
@@ -240,13 +240,13 @@
         runs
     }
 
-    /// Lines that an entry or agent has written.
+    /// Returns the log of an entry or agent.
     pub fn log(&self, process: &str) -> String {
         fs::read_to_string(self.folder.join(format!("{process}.log"))).expect("log")
     }
 }
 
-/// Hands a job in at an entry and waits for its answer.
+/// Submits a job to an entry and waits for its outcome.
 pub async fn submit_to(entry: SocketAddr, id: &str, body: Value) -> Result<Reply, String> {
     let path = format!("{PREFIX}{id}");
     let headers = [("host", HOST), ("rattanslip-deadline-ms", "8000")];
@@ -272,7 +272,7 @@
     Process::start(program, &args, &log_path(settings, folder))
 }
 
-/// The operators' document.
+/// The operators' configuration row.
 pub fn site_config(version: u64) -> Value {
     json!({
         "version": version,
@@ -287,7 +287,7 @@
     })
 }
 
-/// A job whose tasks run so long.
+/// A job of one step whose tasks run for `run_ms` each.
 pub fn site_job(tasks: u16, run_ms: u64) -> Value {
     json!({
         "spec": run_ms.to_string(), "best_effort": true,
