--- a/scripts/deployment.sh
+++ b/scripts/deployment.sh
@@ -1,14 +1,15 @@
-# Starts and stops one deployment on loopback; sourced by scripts/demo and other scripts.
+# Starts and stops a deployment on loopback; sourced by scripts/demo and other scripts.
 #
-# Needs: BIN (folder of the programs), DOCUMENT (configuration), SERVICE, WORK (a folder for
-# settings and logs). Sets: ENTRIES (client addresses), PLATFORM, BACKENDS, AGENT_HTTP and
-# BACKEND_ZONES (of each backend server). Optional: AGENT_SETTINGS (TOML added to each agent's
-# settings), BACKEND_ARGS (array of further arguments of each backend server).
+# Input: BIN (folder of the programs), DOCUMENT (configuration), SERVICE, WORK (folder for
+# settings and logs). Optional input: AGENT_SETTINGS (TOML appended to each agent's settings),
+# BACKEND_ARGS (array of further arguments of each backend server).
+# Output: ENTRIES (client addresses), PLATFORM, BACKENDS, AGENT_HTTP and BACKEND_ZONES (of each
+# backend server).
 
 PIDS=()
 BACKEND_ARGS=()
-# Below the range from which the system picks the near ends of connections: a port that is free
-# when it is picked must not be one of those by the time that a program listens.
+# Below the ephemeral range: an outgoing connection could take an ephemeral port before the
+# program binds it.
 PORT=$((10000 + RANDOM % 20000))
 
 # Sets REPLY to the next port on which nothing listens.
@@ -21,7 +22,7 @@
   done
 }
 
-# start NAME PROGRAM ARGS...: starts a program in the background with its log in WORK.
+# start NAME PROGRAM ARGS...: starts a program in the background; log and process id go to WORK.
 start() {
   local name=$1
   shift
@@ -30,7 +31,7 @@
   echo "$!" >"$WORK/$name.pid"
 }
 
-# Waits until an address answers a path with success, for at most 10 s.
+# wait_for URL: polls the URL until it responds with success, for at most 10 s.
 wait_for() {
   local url=$1
   for _ in $(seq 200); do
@@ -41,7 +42,7 @@
   return 1
 }
 
-# The workers of the document with their availability zones, a line each.
+# Prints a line with name and availability zone for each worker of the document.
 workers_of_document() {
   sed -n -e 's/^\[capacity\.workers\.\(.*\)\]$/\1/p' -e 's/^availability_zone = "\(.*\)"$/\1/p' "$DOCUMENT" |
     paste -d ' ' - -
@@ -54,7 +55,7 @@
   wait_for "http://$PLATFORM/calls"
 }
 
-# start_entry NAME ZONE: the token of its operator is "demo-token".
+# start_entry NAME ZONE: starts an entry; the token of its operator is "demo-token".
 start_entry() {
   local name=$1 zone=$2 client peer
   free_port && client=127.0.0.1:$REPLY
@@ -75,7 +76,7 @@
   ENTRY_PEERS+=("$peer")
 }
 
-# start_worker NAME ZONE: an agent and the backend server beside it.
+# start_worker NAME ZONE: starts an agent and its backend server.
 start_worker() {
   local name=$1 zone=$2 peer http backend entries
   free_port && peer=127.0.0.1:$REPLY
@@ -98,7 +99,7 @@
   AGENT_HTTP+=("$http")
 }
 
-# Starts platform, two entries and all workers of the document, and applies it.
+# Starts platform, two entries and all workers of the document, and applies the document.
 start_deployment() {
   TOKEN_BLAKE3=$(echo demo-token | "$BIN/rattanslip" hash-token)
   ENTRIES=() ENTRY_PEERS=() BACKENDS=() BACKEND_ZONES=() AGENT_HTTP=()
@@ -117,7 +118,7 @@
   wait_for_workers
 }
 
-# Waits until each entry sees every worker with its service.
+# Waits until each entry lists all workers with their service, for at most 10 s per entry.
 wait_for_workers() {
   local wanted seen
   wanted=$(workers_of_document | wc -l)
@@ -130,7 +131,7 @@
   done
 }
 
-# Stops everything that was started, agents and entries first; fails if one did not exit with 0.
+# Stops all processes, the platform last; fails if one did not exit with 0.
 stop_deployment() {
   local failed=0 pid
   for pid in "${PIDS[@]:1}" "${PIDS[@]:0:1}"; do kill -TERM "$pid" 2>/dev/null; done
@@ -144,10 +145,10 @@
   return $failed
 }
 
-# For traps: ends what is still there, whatever its state.
+# Kills all remaining processes; for traps.
 kill_deployment() {
   local pid
   for pid in "${PIDS[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
-  # Waiting here keeps the shell from reporting each end.
+  # Reaping the processes suppresses the shell's messages.
   wait "${PIDS[@]}" 2>/dev/null || true
 }
--- a/scripts/slopelib/candidates.py
+++ b/scripts/slopelib/candidates.py
@@ -1,12 +1,12 @@
-"""What a job costs its entry against the number of runners that could take its tasks."""
+"""Cost of a job at its entry against the number of candidate runners."""
 
 import time
 
 from .deployment import Deployment, Usage
 from .fit import line, number, print_table, spread
 
-# Each home opens sessions to its candidates, all in one process here: more runners would pass the limit
-# of open files.
+# Each home has a session to each candidate, and one process contains all agents: more runners would
+# exceed the limit of open files.
 RUNNERS = (10, 90, 400)
 FULL_LIST = 90
 PLANNED_RUNNERS = 1500
@@ -17,7 +17,7 @@
 
 
 def candidates(runs):
-    """Processor time, bytes and writes of the entry for each job, beyond those at rest."""
+    """Processor time, bytes and writes of the entry per job, without those of the idle entry."""
     samples = []
     for count in RUNNERS:
         with Deployment() as deployment:
@@ -36,14 +36,14 @@
 
 
 def usage_over(entry, seconds):
-    """Rates of the entry over some time."""
+    """Rates of the entry, averaged over `seconds`."""
     before = Usage(entry, entry.client)
     time.sleep(seconds)
     return Usage(entry, entry.client).since(before)
 
 
 def one_load(deployment, entry, at_rest):
-    """Costs of one job, from one load."""
+    """Cost of one job, averaged over one load."""
     before = Usage(entry, entry.client)
     found = deployment.load(TASKS, JOBS_PER_S, LOAD_MS)
     after = Usage(entry, entry.client)
@@ -60,11 +60,11 @@
 
 
 def report(samples):
-    """Means with their spread, then the lines."""
+    """Prints means with their spread and the fitted lines."""
     rows = []
     for key, title in KEYS.items():
         cells = [spread([s[key] for s in samples if s["runners"] == count]) for count in RUNNERS]
-        # The list of runners is full from 96 on, so the line is that of larger deployments.
+        # From 96 runners on the list of runners is full, so the line is fitted to larger deployments only.
         points = [(s["runners"], s[key]) for s in samples if s["runners"] >= FULL_LIST]
         slope, at_zero, residual = line(points)
         at_size = at_zero + slope * PLANNED_RUNNERS
--- a/scripts/slopelib/configuration.py
+++ b/scripts/slopelib/configuration.py
@@ -1,4 +1,4 @@
-"""Time until a change is in force everywhere, and what it costs, against the number of agents."""
+"""Time until a configuration change is in force at all processes, and its writes, against the number of agents."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 
 
 def configuration(runs):
-    """Each change's answer and its way to every entry and agent, with a document of full size."""
+    """Time to the response and to each entry and agent, for changes of a document of full size."""
     samples = []
     for count in AGENTS:
         with Deployment() as deployment:
@@ -31,7 +31,7 @@
 
 
 def change(deployment, count, number):
-    """Takes a zone out or brings it back, through the entries in turn."""
+    """Evacuates or reopens a zone, through the entries in turn."""
     entry = deployment.entries[number % 2]
     path = f"/v1/zones/{ZONES[-1]}/{('out', 'in')[number % 2]}"
     before = deployment.calls()
@@ -57,13 +57,13 @@
 
 
 def told(entry, count, version):
-    """Whether this entry holds the version and says that every agent was told of it."""
+    """Whether all agents have reported this version, or a newer one, to the entry."""
     workers = json.loads(http_call(entry.client, "GET", "/v1/workers")[2])
     return sum(worker["config_version"] >= version for worker in workers) == count
 
 
 def report(samples):
-    """Means with their spread for each number of agents."""
+    """Prints means with their spread for each number of agents."""
     names = [key for key in samples[0] if key != "agents"]
     rows = [
         [name] + [spread([s[name] for s in samples if s["agents"] == count]) for count in AGENTS]
--- a/scripts/slopelib/control.py
+++ b/scripts/slopelib/control.py
@@ -1,4 +1,4 @@
-"""Control traffic, its processor time and memory against the number of agents."""
+"""Traffic, processor time and memory of the control plane against the number of agents."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 
 def control(runs):
-    """Bytes, processor time and memory of entry and agents for each number of agents."""
+    """Bytes, processor time and memory of entries and agents for each number of agents."""
     samples = []
     for count in AGENTS:
         with Deployment() as deployment:
@@ -32,7 +32,7 @@
 
 
 def window(count, run, entries, agents, empty_kb):
-    """One measured window of a running deployment."""
+    """Measures one window of a running deployment."""
     agent_http = f"{agents.first_ip}:{HTTP_PORT}"
     before = [Usage(entry, entry.client) for entry in entries]
     agents_before = Usage(agents, agent_http)
@@ -58,7 +58,7 @@
 
 
 def report(samples):
-    """Means with their spread, then the fitted lines."""
+    """Prints means with their spread and the fitted lines."""
     names = [key for key in samples[0] if key not in ("agents", "run")]
     rows = [
         [name] + [spread([s[name] for s in samples if s["agents"] == count]) for count in AGENTS]
@@ -74,7 +74,7 @@
 
 
 def fitted(name, samples):
-    """The row of one line."""
+    """Table row of one fitted line."""
     value = {
         "entry_bytes": lambda s: s["entry_sent"] + s["entry_received"],
         "agent_bytes": lambda s: s["agent_sent"] + s["agent_received"],
@@ -88,7 +88,7 @@
 
 
 def idle_agent(runs):
-    """What one shipped agent with its backend server spends while no work comes, with two entries."""
+    """Resource usage of one idle agent program with a backend server and two entries."""
     samples = []
     with Deployment() as deployment:
         for _ in range(2):
@@ -107,7 +107,7 @@
 
 
 def sessions(runs, count=24):
-    """What a session between a home and a runner costs while it is idle."""
+    """Cost of an idle session between a home and a runner."""
     samples = []
     with Deployment() as deployment:
         entry = deployment.add_entry()
@@ -116,7 +116,7 @@
         agents = deployment.add_agents(count, backend.listen)
         deployment.await_agents(count)
         time.sleep(SETTLE_S)
-        # Entries give new jobs to one agent in six, and each home has a session with each runner.
+        # One agent in six is home of new jobs, and each home has a session to each runner.
         pairs = -(-count // AGENTS_FOR_EACH_HOME) * count
         quiet = all_agents(agents)
         time.sleep(WINDOW_S)
@@ -145,7 +145,7 @@
 
 
 def all_agents(agents):
-    """Processor time of the process and the traffic of all agents in it."""
+    """Processor time and memory of the process, and the traffic of all agents in it."""
     total = {"at": time.monotonic(), "cores": agents.cpu_s(), "rss_kb": agents.rss_kb(), "sent": 0.0, "writes": 0.0}
     first = agents.first_ip.split(".")
     for index in range(agents.count):
@@ -158,7 +158,7 @@
 
 
 def rate(before, after):
-    """Rates between two moments."""
+    """Rates between two samples."""
     elapsed = after["at"] - before["at"]
     rates = {key: (after[key] - before[key]) / elapsed for key in ("cores", "sent", "writes")}
     return rates | {"rss_kb": after["rss_kb"]}
--- a/scripts/slopelib/deployment.py
+++ b/scripts/slopelib/deployment.py
@@ -1,7 +1,4 @@
-"""One deployment of release programs on loopback, for scripts/slopes.
-
-Ends only the processes that it started, by their ids.
-"""
+"""A deployment of release programs on loopback, for scripts/slopes. Kills only its own child processes."""
 
 import http.client
 import itertools
@@ -24,14 +21,14 @@
 
 
 def free_address():
-    """A port on which nothing listens now."""
+    """Returns a loopback address with an unused port."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
 def http_call(address, method, path, body=None, headers=None, timeout=30):
-    """Status, headers and text of one exchange."""
+    """Sends a request; returns status, headers and body of the response."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -43,7 +40,7 @@
 
 
 def eventually(what, check, limit_s=60):
-    """Waits until `check` holds."""
+    """Polls `check` until it holds."""
     until = time.monotonic() + limit_s
     while time.monotonic() < until:
         try:
@@ -56,7 +53,7 @@
 
 
 class Usage:
-    """Processor time and peer traffic of one process at one moment."""
+    """Sample of the processor time and peer traffic of a process."""
 
     def __init__(self, process, metrics_address):
         self.at = time.monotonic()
@@ -64,7 +61,7 @@
         self.metrics = metrics(metrics_address) if metrics_address else {}
 
     def since(self, earlier):
-        """Rates between two moments: cores and payload bytes a second."""
+        """Rates since an earlier sample: cores, payload bytes and writes per second."""
         elapsed = self.at - earlier.at
         rate = {"cores": (self.cpu_s - earlier.cpu_s) / elapsed}
         for name, key in [
@@ -77,14 +74,14 @@
 
 
 def metrics(address):
-    """All series of a process by name and labels."""
+    """Reads all metrics of a process, by name and labels."""
     _, _, text = http_call(address, "GET", "/metrics")
     lines = [line.rsplit(" ", 1) for line in text.splitlines() if not line.startswith("#")]
     return {name: float(value) for name, value in lines}
 
 
 class Process:
-    """A program that this script started."""
+    """A child process."""
 
     def __init__(self, name, arguments, log):
         self.name = name
@@ -94,7 +91,7 @@
             )
 
     def cpu_s(self):
-        """Processor time of all threads, in seconds, from the scheduler's own count."""
+        """Processor time of all threads in seconds, as counted by the scheduler."""
         folder = f"/proc/{self.child.pid}/task"
         total = 0
         for thread in os.listdir(folder):
@@ -106,12 +103,12 @@
         return total / 1e9
 
     def rss_kb(self):
-        """VmRSS in KB."""
+        """Resident memory (VmRSS) in KB."""
         with open(f"/proc/{self.child.pid}/status", encoding="ascii") as file:
             return int(re.search(r"VmRSS:\s+(\d+)", file.read()).group(1))
 
     def kill(self):
-        """Ends it at once."""
+        """Kills the process and reaps it."""
         self.child.kill()
         self.child.wait()
 
@@ -143,18 +140,18 @@
         shutil.rmtree(self.work)
 
     def start(self, *arguments):
-        """Starts a program; it ends with the deployment."""
+        """Starts a program that is killed with the deployment."""
         name = f"{arguments[0]}-{next(self.numbers)}"
         process = Process(name, arguments, f"{self.work}/{name}.log")
         self.processes.append(process)
         return process
 
     def calls(self):
-        """Reads and writes that the platform has seen."""
+        """Number of reads and writes that the platform has received."""
         return json.loads(http_call(self.platform, "GET", "/calls")[2])
 
     def add_entry(self, addresses=None):
-        """An entry; with `addresses` one that replaces an earlier one."""
+        """Starts an entry; `addresses` are those of an entry that it replaces."""
         client, peer = addresses or (free_address(), free_address())
         settings = f"{self.work}/entry-{next(self.numbers)}.toml"
         with open(settings, "w", encoding="utf-8") as file:
@@ -181,7 +178,7 @@
         return subprocess.run(command, env=environment, text=True, capture_output=True, check=True)
 
     def apply(self, workers, slots=8, note=0):
-        """Puts a document with that many workers in force; each `note` makes another one."""
+        """Applies a document with that many workers; a different `note` changes the document."""
         lines = []
         for number, zone in enumerate(ZONES):
             lines.append(f'[zones.{zone}]\nregion = "region-{number // 4}"\nstate = "open"')
@@ -204,7 +201,7 @@
             eventually("configuration", lambda: metrics(entry.client).get("rattanslip_config_version", 0) > note)
 
     def add_backend(self, agent_http="127.0.0.1:1", slots=8):
-        """A backend server that announces itself to one agent (to none by default)."""
+        """Starts a backend server that announces itself to an agent (to none by default)."""
         listen = free_address()
         process = self.start(
             "rattanslip-standin", "backend", "--listen", listen, "--agent", agent_http,
@@ -214,7 +211,7 @@
         return process
 
     def add_agents(self, count, backend=None, slots=8, first=0, zones=None, first_ip=None):
-        """Many agents in one process."""
+        """Starts one process with `count` agents."""
         first_ip = first_ip or self.take_ips(count)
         arguments = ["agents", "--count", str(count), "--first-ip", first_ip]
         arguments += ["--service", SERVICE, "--slots", str(slots), "--first-number", str(first)]
@@ -230,14 +227,14 @@
         return process
 
     def take_ips(self, count):
-        """The first of `count` addresses that no other agent of this deployment has."""
+        """Reserves `count` consecutive loopback addresses and returns the first one."""
         first = self.next_ip
         self.next_ip += count
         net, third = self.net.rsplit(".", 1)
         return f"{net}.{int(third) + first // 256}.{first % 256}"
 
     def add_agent(self, number, backend_slots=8):
-        """An agent of its own; with slots also a backend server beside it."""
+        """Starts a single agent and, with `backend_slots`, its backend server."""
         peer, http = free_address(), free_address()
         settings = f"{self.work}/agent-{next(self.numbers)}.toml"
         entries = ", ".join(f'"{entry.peer}"' for entry in self.entries)
@@ -256,7 +253,7 @@
         return process
 
     def await_agents(self, count):
-        """Waits until each entry sees that many agents."""
+        """Waits until each entry counts that many agents as alive."""
         for entry in self.entries:
             eventually(
                 f"{count} agents", lambda: metrics(entry.client).get("rattanslip_agents_alive") == count
@@ -281,7 +278,7 @@
         return reply.get("rattanslip-verdict", "none")
 
     def load(self, tasks, jobs_per_s, duration_ms, work_ms=0, entry=0):
-        """Runs a steady stream of jobs to its end and returns what it found."""
+        """Runs a steady load of jobs and returns its report."""
         command = [
             f"{BIN}/rattanslip-standin", "jobs", "--entry", self.entries[entry].client, "--service", SERVICE,
             "--tasks", str(tasks), "--jobs-per-s", str(jobs_per_s), "--duration-ms", str(duration_ms),
--- a/scripts/slopelib/fit.py
+++ b/scripts/slopelib/fit.py
@@ -1,10 +1,10 @@
-"""Least squares and tables."""
+"""Linear regression and Markdown tables."""
 
 import statistics
 
 
 def line(points):
-    """Slope, intercept and the residuals' standard deviation of (x, y) points."""
+    """Slope, intercept and standard deviation of the residuals for (x, y) points."""
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     slope, intercept = statistics.linear_regression(xs, ys)
@@ -13,12 +13,12 @@
 
 
 def spread(values):
-    """Mean with the lowest and the highest, as text."""
+    """Mean, minimum and maximum as text."""
     return f"{number(statistics.mean(values))} ({number(min(values))} to {number(max(values))})"
 
 
 def number(value):
-    """Three significant digits, without an exponent."""
+    """Formats a number with at least three significant digits."""
     if value == 0:
         return "0"
     magnitude = abs(value)
@@ -32,7 +32,7 @@
 
 
 def print_table(title, header, rows):
-    """A table in Markdown, as docs/CAPACITY.md shows it."""
+    """Prints a Markdown table for docs/CAPACITY.md."""
     print(f"\n## {title}\n")
     print("| " + " | ".join(header) + " |")
     print("|" + " --- |" * len(header))
--- a/scripts/slopelib/planned.py
+++ b/scripts/slopelib/planned.py
@@ -1,4 +1,4 @@
-"""Control measured at the planned number of agents, without work."""
+"""Control plane without load at the planned number of agents."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 
 
 def planned(runs):
-    """One entry for each availability zone and 1,500 agents; then a change of the configuration."""
+    """One entry per availability zone and 1,500 agents: idle windows, then configuration changes."""
     count = PROCESSES * AGENTS_OF_PROCESS
     samples, changes = [], []
     with Deployment() as deployment:
@@ -36,7 +36,7 @@
 
 
 def window(run, entries, groups):
-    """One window: each entry, and one agent of each process."""
+    """Measures one window at each entry and at one agent of each process."""
     agents = [f"{group.first_ip}:{HTTP_PORT}" for group in groups]
     watched = [("entry", e, e.client) for e in entries]
     watched += [("agent", group, http) for group, http in zip(groups, agents)]
@@ -58,7 +58,7 @@
 
 
 def seconds_in_force(deployment, count, run):
-    """From the operator's command to its version at every entry, and at every agent."""
+    """Seconds from the operator's command until each entry, and each agent, uses the new version."""
     version = run + 2
     since = time.monotonic()
     deployment.apply(count, note=run + 1)
@@ -78,7 +78,7 @@
 
 
 def report(samples, changes, count):
-    """Mean, lowest and highest over entries and windows, and the share of the budget."""
+    """Prints mean, minimum and maximum over processes and windows, and the share of the budget."""
     rows = []
     for role in ("entry", "agent"):
         for key in FIGURES:
--- a/scripts/slopelib/recovery.py
+++ b/scripts/slopelib/recovery.py
@@ -1,4 +1,4 @@
-"""Time to recover after a rack, an entry, a zone, and everything restarting at once."""
+"""Recovery time after the failure of a rack, an entry or a zone, and after a restart of all processes."""
 
 import collections
 import http.client
@@ -17,7 +17,7 @@
 
 
 class Probe:
-    """Submits jobs of one 20 ms task all the time and notes each verdict and when it came."""
+    """Submits jobs of one 20 ms task continuously and records time and verdict of each."""
 
     def __init__(self, deployment, entry):
         self.verdicts = []
@@ -39,8 +39,8 @@
             time.sleep(PROBE_PAUSE_S)
 
     def stop(self, since):
-        """Seconds until the last probe that failed or took over 500 ms was sent, the longest that any
-        probe took to its answer, and what failed."""
+        """Stops the probes. Returns the seconds until the last probe that failed or took over 500 ms was
+        sent, the longest response time, the verdicts of these probes and the number of all probes."""
         self.running = False
         for thread in self.threads:
             thread.join()
@@ -54,7 +54,7 @@
 
 
 def recovery(runs):
-    """Each failure, `runs` times, on a fresh deployment."""
+    """Measures each failure `runs` times, each time on a new deployment."""
     samples = []
     for run in range(runs):
         samples += [failure(name, act, run) for name, act in FAILURES.items()]
@@ -73,7 +73,7 @@
 
 
 def start(deployment):
-    """Two entries, 24 workers in 4 zones; one zone is made of a rack of its own and the rest."""
+    """Starts two entries and 24 workers in 4 zones; the first rack of the first zone is a separate process."""
     for _ in range(2):
         deployment.add_entry()
     workers = ZONES_USED * WORKERS_OF_ZONE
@@ -90,7 +90,7 @@
 
 
 def failure(name, act, run):
-    """One failure under probes through the entry that stays."""
+    """Measures one failure with probes through the entry that keeps running."""
     with Deployment() as deployment:
         groups = start(deployment)
         probe = Probe(deployment, entry=1)
@@ -123,7 +123,7 @@
 
 
 def restart_all(run):
-    """Kills entries and agents, starts all of them and waits until ten jobs in a row are done."""
+    """Kills entries and agents, restarts all of them and waits until ten consecutive jobs are done."""
     with Deployment() as deployment:
         groups = start(deployment)
         old = list(deployment.entries)
--- a/scripts/slopelib/work.py
+++ b/scripts/slopelib/work.py
@@ -1,4 +1,4 @@
-"""Processor time of a task, memory of jobs, and calls to the platform."""
+"""Processor time per task, memory per job, and calls to the platform."""
 
 import time
 import uuid
@@ -14,10 +14,10 @@
 
 
 def tasks(runs):
-    """Processor time a task of entry, home and runner at each size of job.
+    """Processor time per task of entry, home and runner for each job size.
 
-    Two agents, of which one has no backend server: it is the home of half the jobs and runs
-    nothing, so its time is that of half the homes' work; the other's is the rest.
+    One of the two agents has no backend server: it is the home of half the jobs and runs no
+    tasks. Its time is half of the homes' time; the other agent's time also includes the runner's.
     """
     samples = []
     with Deployment() as deployment:
@@ -36,7 +36,7 @@
 
 
 def one_load(deployment, processes, size, run):
-    """One load at one size of job."""
+    """Measures one load with one job size."""
     before = [process.cpu_s() for process in processes]
     started_at = time.monotonic()
     found = deployment.load(size, TASKS_PER_S[size] / size, LOAD_MS)
@@ -59,7 +59,7 @@
 
 
 def report_tasks(samples):
-    """Means with their spread."""
+    """Prints means with their spread."""
     rows = []
     for size in JOB_SIZES:
         mine = [s for s in samples if s["tasks_per_job"] == size]
@@ -75,7 +75,7 @@
 
 
 def memory(runs):
-    """Memory at a home for each job under way, ended job and ended task; at an entry for tickets."""
+    """Memory of a home and an entry per finished job, finished task and queued task."""
     samples = []
     for run in range(runs):
         with Deployment() as deployment:
@@ -93,7 +93,7 @@
 
 
 def growth(deployment, entry, agent):
-    """How VmRSS grows with jobs and tickets."""
+    """Growth of VmRSS with the number of jobs, and the processor time of an idle home."""
     grown = {}
 
     def measure(name, count, action):
@@ -124,7 +124,7 @@
 
 
 def store(runs):
-    """Reads and writes of the platform against entries, changes and keyed submissions."""
+    """Calls to the platform against the number of entries, changes and keyed submissions."""
     samples, idle = [], []
     for entries in (1, 2, 4):
         with Deployment() as deployment:
@@ -147,7 +147,7 @@
 
 
 def one_store_run(deployment, run, idle):
-    """Calls for each change and each keyed submission, beyond the idle ones."""
+    """Calls per change and per keyed submission, without those of idle entries."""
     at_rest = [s for s in idle if s["entries"] == 4]
     base = {k: sum(s[k] for s in at_rest) / len(at_rest) for k in ("reads", "writes")}
     found = {"run": run}
@@ -166,7 +166,7 @@
 
 
 def report_store(idle, samples):
-    """The lines against entries, and the calls for each change and submission."""
+    """Prints the lines fitted to the entries, and the calls per change and submission."""
     rows = []
     for kind in ("reads", "writes"):
         slope, at_zero, residual = line([(s["entries"], s[kind]) for s in idle])
