--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -1,10 +1,10 @@
-//! What clients call.
+//! HTTP handlers for clients.
 
 use {
     super::{
         entry_api::{Api, EntryApi},
         job_body::{JobBody, TaskBody},
-        known_job::unless_known,
+        known_job::replace_if_known,
         response::{NEXT_TICKET_HEADER, Refusal, VERDICT_HEADER, job_response, request_response},
     },
     crate::{
@@ -14,7 +14,7 @@
             ticket::{Ticket, TicketError},
             verdict::NotRunReason,
         },
-        entry::Identity,
+        entry::JobIdentity,
         ports::Counter,
     },
     poem::{
@@ -27,17 +27,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Carries a job's ticket.
+/// Header with a job's ticket.
 pub(crate) const TICKET_HEADER: &str = "rattanslip-ticket";
-/// Carries the client's own key for a job.
+/// Header with the client's own key for a job.
 pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Names the team on whose quota a request draws.
+/// Header with the team whose quota the request consumes.
 pub(crate) const TEAM_HEADER: &str = "rattanslip-team";
-/// Most tickets handed out at a time.
+/// Maximum number of tickets in one response.
 const MAX_TICKETS: usize = 1_000;
-/// Longest key that a client may choose, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// When to come back while no home grants tickets, in milliseconds.
+/// Retry delay sent to clients while no home grants tickets.
 const TICKET_RETRY_AFTER_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
@@ -64,7 +64,7 @@
 /// `POST /v1/tickets?count=N`
 #[handler]
 pub(crate) fn get_tickets(api: Api<'_>, Query(query): Query<TicketsQuery>) -> Response {
-    respond(&api, mint_tickets(&api, query.count.unwrap_or(1)))
+    counted_response(&api, mint_tickets(&api, query.count.unwrap_or(1)))
 }
 
 fn mint_tickets(api: &EntryApi, count: usize) -> Result<Response, Refusal> {
@@ -91,8 +91,8 @@
     body: Body,
 ) -> Response {
     let result = submit(&api, request, query, body).await;
-    let result = unless_known(&api, request, result).await;
-    with_next_ticket(&api, respond(&api, result))
+    let result = replace_if_known(&api, request, result).await;
+    with_next_ticket(&api, counted_response(&api, result))
 }
 
 async fn submit(
@@ -104,7 +104,7 @@
     let text = read_body(api, body).await?;
     let job: JobBody = serde_json::from_str(&text)
         .map_err(|error| Refusal::new(NotRunReason::BadRequest, error.to_string()))?;
-    let service = known_service(api, &job.service)?;
+    let service = find_service(api, &job.service)?;
     let spec = job_spec(api, request, job, &service)?;
     let identity = identity(api, request, &spec.team).await?;
     let wait_ms = query
@@ -123,7 +123,7 @@
     Query(query): Query<WaitQuery>,
 ) -> Response {
     let result = poll(&api, &ticket, query).await;
-    respond(&api, result)
+    counted_response(&api, result)
 }
 
 async fn poll(api: &EntryApi, ticket: &str, query: WaitQuery) -> Result<Response, Refusal> {
@@ -136,7 +136,7 @@
 #[handler]
 pub(crate) async fn cancel_job(api: Api<'_>, Path(ticket): Path<String>) -> Response {
     let result = cancel(&api, &ticket).await;
-    respond(&api, result)
+    counted_response(&api, result)
 }
 
 async fn cancel(api: &EntryApi, ticket: &str) -> Result<Response, Refusal> {
@@ -154,8 +154,8 @@
     body: Body,
 ) -> Response {
     let result = run_single(&api, request, service, query, body).await;
-    let result = unless_known(&api, request, result).await;
-    with_next_ticket(&api, respond(&api, result))
+    let result = replace_if_known(&api, request, result).await;
+    with_next_ticket(&api, counted_response(&api, result))
 }
 
 async fn run_single(
@@ -166,7 +166,7 @@
     body: Body,
 ) -> Result<Response, Refusal> {
     let input = read_body(api, body).await?;
-    let service = known_service(api, &name)?;
+    let service = find_service(api, &name)?;
     let job = JobBody {
         service: name,
         deadline_ms: query.deadline_ms,
@@ -180,7 +180,7 @@
     let has_identity =
         request.header(TICKET_HEADER).is_some() || request.header(IDEMPOTENCY_KEY_HEADER).is_some();
     let identity = if spec.repeatable && !has_identity {
-        Identity::of_ticket(api.state.mint(1).pop().ok_or_else(no_tickets)?)
+        JobIdentity::of_ticket(api.state.mint(1).pop().ok_or_else(no_tickets)?)
     } else {
         identity(api, request, &spec.team).await?
     };
@@ -204,7 +204,7 @@
         .map_err(|_| Refusal::new(NotRunReason::BadRequest, "the body must be UTF-8"))
 }
 
-fn known_service(api: &EntryApi, name: &str) -> Result<Service, Refusal> {
+fn find_service(api: &EntryApi, name: &str) -> Result<Service, Refusal> {
     api.state.service(name).map_err(|reason| match reason {
         NotRunReason::NoConfiguration => Refusal::retry_after(reason, TICKET_RETRY_AFTER_MS),
         _ => Refusal::new(reason, format!("service \"{name}\"")),
@@ -240,10 +240,10 @@
     })
 }
 
-/// The ticket that the request carries, or the one that its key is bound to.
-async fn identity(api: &EntryApi, request: &Request, team: &str) -> Result<Identity, Refusal> {
+/// Returns the ticket in the request, or the one that its idempotency key is bound to.
+async fn identity(api: &EntryApi, request: &Request, team: &str) -> Result<JobIdentity, Refusal> {
     if let Some(text) = request.header(TICKET_HEADER) {
-        return parse_ticket(text).map(Identity::of_ticket);
+        return parse_ticket(text).map(JobIdentity::of_ticket);
     }
     let Some(key) = request.header(IDEMPOTENCY_KEY_HEADER) else {
         let message = format!("send {TICKET_HEADER} or {IDEMPOTENCY_KEY_HEADER}");
@@ -254,7 +254,7 @@
         return Err(Refusal::new(NotRunReason::BadRequest, message));
     }
     match api.claims.ticket_for(team, key).await {
-        Ok(ticket) => Ok(Identity {
+        Ok(ticket) => Ok(JobIdentity {
             ticket,
             by_key: true,
         }),
@@ -275,8 +275,8 @@
     Refusal::retry_after(NotRunReason::NoTickets, TICKET_RETRY_AFTER_MS)
 }
 
-/// The answer to the client, counted by refusal reason or verdict.
-fn respond(api: &EntryApi, result: Result<Response, Refusal>) -> Response {
+/// Builds the response and counts it by rejection reason or verdict.
+fn counted_response(api: &EntryApi, result: Result<Response, Refusal>) -> Response {
     let response = match result {
         Ok(response) => response,
         Err(refusal) => {
@@ -296,7 +296,7 @@
     response
 }
 
-/// Gives the client its next ticket, so that the steady state has no extra round trip.
+/// Adds a ticket for the next job, which saves the client a request for tickets.
 fn with_next_ticket(api: &EntryApi, mut response: Response) -> Response {
     if let Some(ticket) = api.state.mint(1).pop()
         && let Ok(value) = HeaderValue::from_str(&ticket.to_string())
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -1,11 +1,11 @@
-//! The entry's routes.
+//! The entry's HTTP routes.
 
 use {
     super::{client_api, health::with_health, operator_api, response::Refusal},
     crate::{
         cli::RunError,
         core::verdict::NotRunReason,
-        entry::{ConfigKeeper, EntryState, Jobs},
+        entry::{ConfigStore, EntryState, Jobs},
         ports::Metrics,
     },
     poem::{
@@ -15,25 +15,25 @@
     std::{future::Future, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Longest time that requests under way may take after a stop, in seconds.
-const STOP_LIMIT_S: u64 = 130;
+/// Time for requests in progress to complete on shutdown, in seconds.
+const SHUTDOWN_TIMEOUT_S: u64 = 130;
 
-/// What the routes work with.
+/// State of the routes.
 #[derive(Debug)]
 pub(crate) struct EntryApi {
     pub(crate) jobs: Jobs,
     pub(crate) claims: Arc<crate::entry::Claims>,
     pub(crate) state: Arc<EntryState>,
-    pub(crate) keeper: Arc<ConfigKeeper>,
+    pub(crate) config_store: Arc<ConfigStore>,
     pub(crate) metrics: Arc<dyn Metrics>,
     pub(crate) max_body_bytes: usize,
     pub(crate) max_deadline_ms: u64,
 }
 
-/// The entry's API as its handlers see it.
+/// Extracts the entry's API in handlers.
 pub(crate) type Api<'a> = Data<&'a Arc<EntryApi>>;
 
-/// Serves clients and operators until `stop` resolves and requests under way are answered.
+/// Serves clients and operators until `stop` resolves, then completes the requests in progress.
 pub(crate) async fn serve_entry_api(
     listen: SocketAddr,
     api: Arc<EntryApi>,
@@ -58,15 +58,15 @@
         .at("/ready", get(ready));
     let routes = with_health(routes, Arc::clone(&api.metrics))
         .data(api)
-        .catch_all_error(unroutable);
+        .catch_all_error(route_error_response);
     Server::new(TcpListener::bind(listen))
-        .run_with_graceful_shutdown(routes, stop, Some(Duration::from_secs(STOP_LIMIT_S)))
+        .run_with_graceful_shutdown(routes, stop, Some(Duration::from_secs(SHUTDOWN_TIMEOUT_S)))
         .await
         .map_err(|error| RunError::Listen(listen, error))
 }
 
-/// Answers what no route takes; nothing ran, and the answer says so like any other.
-async fn unroutable(error: poem::Error) -> Response {
+/// Response to requests that match no route, with a "not run" verdict like other rejections.
+async fn route_error_response(error: poem::Error) -> Response {
     let refusal = Refusal::new(NotRunReason::BadRequest, error.to_string());
     let mut response = refusal.response();
     response.set_status(error.status());
--- a/src/adapters/platform/http_store.rs
+++ b/src/adapters/platform/http_store.rs
@@ -1,8 +1,8 @@
-//! The platform's service as an HTTP client sees it.
+//! HTTP client of the platform's table and object store.
 
 use {
     crate::{
-        adapters::http::read_long_body,
+        adapters::http::read_body_with_idle_timeout,
         ports::{
             Counter, Metrics, ObjectStore, Row, StoreError, Table, Transaction, TransactionOutcome,
         },
@@ -30,7 +30,7 @@
 }
 
 impl HttpStore {
-    /// A client of the platform at `addr`; a call is given up when nothing of its answer has come for `timeout_ms`.
+    /// Creates a client; a call fails if no part of its response arrives for `timeout_ms`.
     pub(crate) fn new(addr: SocketAddr, timeout_ms: u64, metrics: Arc<dyn Metrics>) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
@@ -67,16 +67,18 @@
                 }
             })?;
         let status = response.status();
-        let body = read_long_body(response.into_body(), self.timeout_ms).await;
+        let body = read_body_with_idle_timeout(response.into_body(), self.timeout_ms).await;
         let body = body.map_err(StoreError::OutcomeUnknown)?;
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(StoreError::Unavailable("the platform is down".to_owned()));
+            return Err(StoreError::Unavailable(
+                "the platform returned status 503".to_owned(),
+            ));
         }
         Ok((status, body))
     }
 
-    /// Sends a call and counts how it went.
-    async fn counted(
+    /// Sends a call and counts its outcome.
+    async fn send_counted(
         &self,
         method: Method,
         path: &str,
@@ -95,7 +97,7 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("unreadable reply: {error}")))
+        .map_err(|error| StoreError::OutcomeUnknown(format!("invalid response body: {error}")))
 }
 
 fn unexpected(status: StatusCode) -> StoreError {
@@ -106,7 +108,7 @@
 impl Table for HttpStore {
     async fn get(&self, key: &str) -> Result<Option<Row>, StoreError> {
         let path = format!("/table/rows/{key}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => parse(&body).map(Some),
             (StatusCode::NOT_FOUND, _) => Ok(None),
             (status, _) => Err(unexpected(status)),
@@ -115,7 +117,7 @@
 
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, StoreError> {
         let path = format!("/table/scan/{prefix}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => parse(&body),
             (status, _) => Err(unexpected(status)),
         }
@@ -124,7 +126,10 @@
     async fn transact(&self, transaction: Transaction) -> Result<TransactionOutcome, StoreError> {
         let body = serde_json::to_string(&transaction)
             .map_err(|error| StoreError::Unavailable(error.to_string()))?;
-        match self.counted(Method::POST, "/table/transact", body).await? {
+        match self
+            .send_counted(Method::POST, "/table/transact", body)
+            .await?
+        {
             (StatusCode::OK, body) => parse(&body),
             (status, _) => Err(unexpected(status)),
         }
@@ -135,7 +140,7 @@
 impl ObjectStore for HttpStore {
     async fn get_object(&self, name: &str) -> Result<Option<String>, StoreError> {
         let path = format!("/objects/{name}");
-        match self.counted(Method::GET, &path, String::new()).await? {
+        match self.send_counted(Method::GET, &path, String::new()).await? {
             (StatusCode::OK, body) => String::from_utf8(body.to_vec())
                 .map(Some)
                 .map_err(|error| StoreError::OutcomeUnknown(error.to_string())),
@@ -146,7 +151,7 @@
 
     async fn put_object(&self, name: &str, body: String) -> Result<(), StoreError> {
         let path = format!("/objects/{name}");
-        match self.counted(Method::PUT, &path, body).await? {
+        match self.send_counted(Method::PUT, &path, body).await? {
             (StatusCode::OK, _) => Ok(()),
             (status, _) => Err(unexpected(status)),
         }
--- a/src/adapters/platform/tests.rs
+++ b/src/adapters/platform/tests.rs
@@ -10,9 +10,9 @@
     },
 };
 
-/// Guards against a document that is given up while it arrives.
+/// The timeout of a call must not limit the total time of a response that keeps arriving.
 #[tokio::test]
-async fn an_object_that_arrives_slowly_is_read_to_its_end() {
+async fn a_slowly_arriving_object_is_not_timed_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let addr = listener.local_addr().expect("address");
     tokio::spawn(async move {
@@ -28,6 +28,6 @@
     });
     let metrics = Arc::new(OtelMetrics::new().expect("metrics"));
     let store = HttpStore::new(addr, 600, metrics);
-    let text = store.get_object("document").await.expect("an answer");
+    let text = store.get_object("document").await.expect("response");
     assert_eq!(text, Some("x".repeat(8_000)));
 }
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Clients' own keys, bound to tickets in the platform's table.
+//! Binds clients' idempotency keys to tickets in the platform's table.
 
 use {
     super::EntryState,
@@ -17,32 +17,31 @@
     tokio::sync::oneshot,
 };
 
-/// When to come back while the store is down, in milliseconds.
+/// Retry delay sent to clients while the store is unavailable, in milliseconds.
 const STORE_RETRY_AFTER_MS: u64 = 2_000;
-/// When to come back while no home grants tickets, in milliseconds.
+/// Retry delay sent to clients while no home grants tickets, in milliseconds.
 const TICKET_RETRY_AFTER_MS: u64 = 500;
-/// When to come back while too many keys wait to be bound, in milliseconds.
+/// Retry delay sent to clients while the claim queue is full, in milliseconds.
 const BUDGET_RETRY_AFTER_MS: u64 = 1_000;
-/// Writes a second that one entry makes for claims, out of several hundred for everybody.
+/// Claim writes per second of one entry; the store's limit for all callers is several hundred.
 const WRITES_PER_S: u32 = 50;
-/// Most keys that wait to be bound: about a second's worth of full writes.
-const MAX_WAITING: usize = 2_048;
-/// Most reads of the table under way; what goes beyond is refused.
-const MAX_READS: usize = 256;
-/// Most bindings remembered.
-const MAX_REMEMBERED: usize = 20_000;
-/// Pause between looks at the write budget, in milliseconds.
-const PUMP_MS: u64 = 5;
+/// Longest claim queue: about one second of full write batches.
+const MAX_QUEUED_CLAIMS: usize = 2_048;
+/// Reads beyond this number are refused.
+const MAX_CONCURRENT_READS: usize = 256;
+const MAX_CACHED_BINDINGS: usize = 20_000;
+/// Interval at which queued claims are checked against the write budget, in milliseconds.
+const QUEUE_POLL_INTERVAL_MS: u64 = 5;
 
-type BoundReply = oneshot::Sender<Result<Ticket, ClaimError>>;
+type ReplySender = oneshot::Sender<Result<Ticket, ClaimError>>;
 
 #[derive(Debug)]
 struct Inner {
     queue: ClaimQueue,
-    waiters: BTreeMap<ClaimId, BoundReply>,
+    waiters: BTreeMap<ClaimId, ReplySender>,
     next_id: u64,
-    remembered: BTreeMap<String, Ticket>,
-    order: VecDeque<String>,
+    cache: BTreeMap<String, Ticket>,
+    cache_order: VecDeque<String>,
 }
 
 /// Binds keys to tickets.
@@ -56,7 +55,7 @@
 }
 
 impl Claims {
-    /// No key bound yet.
+    /// Creates an empty queue and cache.
     pub(crate) fn new(
         state: Arc<EntryState>,
         table: Arc<dyn Table>,
@@ -66,13 +65,13 @@
             state,
             table,
             timer,
-            reads: tokio::sync::Semaphore::new(MAX_READS),
+            reads: tokio::sync::Semaphore::new(MAX_CONCURRENT_READS),
             inner: Mutex::new(Inner {
-                queue: ClaimQueue::new(MAX_WAITING, WRITES_PER_S),
+                queue: ClaimQueue::new(MAX_QUEUED_CLAIMS, WRITES_PER_S),
                 waiters: BTreeMap::new(),
                 next_id: 0,
-                remembered: BTreeMap::new(),
-                order: VecDeque::new(),
+                cache: BTreeMap::new(),
+                cache_order: VecDeque::new(),
             }),
         }
     }
@@ -81,20 +80,20 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Paces the writes until the process ends.
+    /// Submits queued claims at the allowed rate until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut ticks = self.timer.subscribe(PUMP_MS);
+        let mut ticks = self.timer.subscribe(QUEUE_POLL_INTERVAL_MS);
         while ticks.recv().await.is_some() {
             let actions = self.lock().queue.start_next_write(self.timer.now());
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 
-    /// The ticket that a team's key is bound to; binds a fresh one if the key is new.
+    /// Returns the ticket that a team's key is bound to; binds a new one if the key is new.
     ///
-    /// Guards against a second start when a client resubmits under its own key through another
-    /// entry: the row is written only if it is absent, and whoever finds it uses its ticket. A
-    /// reply that was lost is settled by reading the row.
+    /// The row is written only if it is absent, so a client that resubmits under the same key
+    /// through another entry gets the same ticket. If the reply to the write is lost, the row is
+    /// read back.
     pub(crate) async fn ticket_for(
         self: &Arc<Self>,
         team: &str,
@@ -102,34 +101,36 @@
     ) -> Result<Ticket, Verdict> {
         let row = row_key(team, key);
         if let Some(ticket) = self.lookup(team, key).await? {
-            self.remember(row, ticket);
+            self.cache_binding(row, ticket);
             return Ok(ticket);
         }
-        let fresh = self.state.mint(1).pop().ok_or(Verdict::NotRun {
+        let new_ticket = self.state.mint(1).pop().ok_or(Verdict::NotRun {
             reason: NotRunReason::NoTickets,
             retry_after_ms: TICKET_RETRY_AFTER_MS,
         })?;
-        let ticket = self.bind(row.clone(), fresh).await.map_err(not_bound)?;
-        self.remember(row, ticket);
+        let ticket = self
+            .bind(row.clone(), new_ticket)
+            .await
+            .map_err(not_bound_verdict)?;
+        self.cache_binding(row, ticket);
         Ok(ticket)
     }
 
-    /// The ticket that a team's key is bound to, if it is.
+    /// Returns the ticket that a team's key is bound to, if any.
     pub(crate) async fn lookup(&self, team: &str, key: &str) -> Result<Option<Ticket>, Verdict> {
         let row = row_key(team, key);
-        let remembered = self.lock().remembered.get(&row).copied();
-        match remembered {
+        let cached = self.lock().cache.get(&row).copied();
+        match cached {
             Some(ticket) => Ok(Some(ticket)),
-            None => self.find(&row).await,
+            None => self.find_binding(&row).await,
         }
     }
 
-    /// Looks for an earlier binding.
+    /// Reads an earlier binding from the table.
     ///
-    /// Guards against a false "not run": while the table can't be read nobody knows whether the
-    /// key was submitted before and its job ran, so the client hears that it may have, and when
-    /// to ask again with the same key.
-    async fn find(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
+    /// If the table can't be read, the key may already be bound and its job may have run, so the
+    /// verdict is "may have run".
+    async fn find_binding(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
         let unknown = Verdict::MayHaveRun {
             reason: MayHaveRunReason::StoreUnavailable,
             retry_after_ms: STORE_RETRY_AFTER_MS,
@@ -137,7 +138,7 @@
         let Ok(_permit) = self.reads.try_acquire() else {
             return Err(unknown);
         };
-        self.bound(row).await.map_err(|_| unknown)
+        self.read_binding(row).await.map_err(|_| unknown)
     }
 
     async fn bind(self: &Arc<Self>, row: String, new_ticket: Ticket) -> Result<Ticket, ClaimError> {
@@ -156,11 +157,11 @@
                 },
             )
         };
-        self.carry_out(actions);
+        self.execute(actions);
         bound.await.unwrap_or(Err(ClaimError::StoreUnavailable))
     }
 
-    fn carry_out(self: &Arc<Self>, actions: Vec<ClaimAction>) {
+    fn execute(self: &Arc<Self>, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Write(claims) => {
@@ -177,7 +178,7 @@
 
     fn reply(&self, id: ClaimId, result: Result<Ticket, ClaimError>) {
         if let Some(reply) = self.lock().waiters.remove(&id) {
-            // A client that is gone asks again with the same key.
+            // A client that has disconnected retries with the same key.
             let _ = reply.send(result);
         }
     }
@@ -193,29 +194,29 @@
             .lock()
             .queue
             .handle_write_outcome(self.timer.now(), &outcome);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     async fn read(self: Arc<Self>, id: ClaimId, row: String) {
-        let found = self.bound(&row).await.ok().flatten();
+        let found = self.read_binding(&row).await.ok().flatten();
         self.reply(id, found.ok_or(ClaimError::StoreUnavailable));
     }
 
-    async fn bound(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
+    async fn read_binding(&self, row: &str) -> Result<Option<Ticket>, StoreError> {
         let row = self.table.get(row).await?;
         Ok(row.and_then(|row| row.value.parse().ok()))
     }
 
-    /// Bindings never change, so a remembered one needs no store.
-    fn remember(&self, row: String, ticket: Ticket) {
+    /// Caches a binding; bindings never change, so entries are never invalidated.
+    fn cache_binding(&self, row: String, ticket: Ticket) {
         let mut inner = self.lock();
-        if inner.remembered.insert(row.clone(), ticket).is_none() {
-            inner.order.push_back(row);
+        if inner.cache.insert(row.clone(), ticket).is_none() {
+            inner.cache_order.push_back(row);
         }
-        if inner.order.len() > MAX_REMEMBERED
-            && let Some(oldest) = inner.order.pop_front()
+        if inner.cache_order.len() > MAX_CACHED_BINDINGS
+            && let Some(oldest) = inner.cache_order.pop_front()
         {
-            inner.remembered.remove(&oldest);
+            inner.cache.remove(&oldest);
         }
     }
 }
@@ -239,8 +240,8 @@
     }
 }
 
-/// The key was read as unbound, so nothing ran under it, and this request's ticket is not used.
-const fn not_bound(fault: ClaimError) -> Verdict {
+/// The key was read as unbound and the new ticket stays unused, so nothing ran under the key.
+const fn not_bound_verdict(fault: ClaimError) -> Verdict {
     match fault {
         ClaimError::QueueFull => Verdict::NotRun {
             reason: NotRunReason::ClaimBudget,
@@ -253,7 +254,7 @@
     }
 }
 
-/// Team and key are hashed together, so that any text makes a row key of fixed size.
+/// Hashes team and key, so that row keys have a fixed size and charset.
 fn row_key(team: &str, key: &str) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(team.len() as u64).to_le_bytes());
--- a/src/entry/peer_handler.rs
+++ b/src/entry/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What an entry does with its peers' calls.
+//! Handles calls from other entries and agents.
 
 use {
     super::EntryState,
@@ -10,7 +10,7 @@
     std::sync::Arc,
 };
 
-/// Takes announcements and digests.
+/// Handles announcements, digests and requests for the configuration.
 #[derive(Debug)]
 pub(crate) struct EntryPeerHandler {
     pub(crate) state: Arc<EntryState>,
@@ -18,15 +18,17 @@
 
 #[async_trait]
 impl PeerHandler for EntryPeerHandler {
-    async fn call(&self, request: PeerRequest) -> PeerReply {
+    async fn handle_call(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Announce(announcement) => {
-                PeerReply::Announced(self.state.announce(announcement))
+                PeerReply::Announced(self.state.handle_announcement(announcement))
             }
-            PeerRequest::Digest(digest) => PeerReply::Digest(self.state.digest(digest)),
+            PeerRequest::Digest(digest) => PeerReply::Digest(self.state.handle_digest(digest)),
             PeerRequest::Configuration => {
-                let held = self.state.in_force();
-                PeerReply::Configuration(held.map(|held| (held.head, held.text.to_string())))
+                let in_force = self.state.in_force();
+                PeerReply::Configuration(
+                    in_force.map(|in_force| (in_force.head, in_force.text.to_string())),
+                )
             }
             PeerRequest::Gate(_)
             | PeerRequest::Submit(_)
@@ -36,7 +38,7 @@
         }
     }
 
-    fn session(&self, _session: RunnerSession) -> bool {
+    fn accept_session(&self, _session: RunnerSession) -> bool {
         false
     }
 }
--- a/src/entry/tests/fakes.rs
+++ b/src/entry/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes that several of the entry's tests share.
+//! Fakes shared by the entry's tests.
 
 #![allow(
     clippy::expect_used,
@@ -8,12 +8,12 @@
 use {
     crate::{
         core::time::Instant,
-        ports::{Counter, Gauge, Metrics, Span, TimerService},
+        ports::{Counter, Gauge, Histogram, Metrics, TimerService},
     },
     tokio::sync::mpsc,
 };
 
-/// Tokio's clock, so that a test can pass time without waiting.
+/// Reads Tokio's clock, which tests can pause.
 #[derive(Debug)]
 pub(super) struct PausedTimer(pub(super) tokio::time::Instant);
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// Counts nothing.
+/// Discards all metrics.
 #[derive(Debug)]
 pub(super) struct NoMetrics;
 
 impl Metrics for NoMetrics {
     fn add(&self, _counter: Counter, _reason: &'static str, _amount: u64) {}
 
-    fn observe(&self, _: Span, _: &'static str, _: u64) {}
+    fn observe(&self, _: Histogram, _: &'static str, _: u64) {}
 
     fn set(&self, _gauge: Gauge, _value: u64) {}
 
