--- a/tests/processes/config.rs
+++ b/tests/processes/config.rs
@@ -322,8 +322,12 @@
     let change = body(&with_zone_out(&deployment.document(), "keflavik"), 1);
     deployment.set_platform_faults(r#"{"slow_ms": 500}"#).await;
     let limit = Duration::from_millis(700);
-    let cut = tokio::time::timeout(limit, apply(&deployment, 0, "night-shift", &change)).await;
-    assert!(cut.is_err(), "response before the operator disconnected");
+    let interrupted =
+        tokio::time::timeout(limit, apply(&deployment, 0, "night-shift", &change)).await;
+    assert!(
+        interrupted.is_err(),
+        "response before the operator disconnected"
+    );
     eventually(
         "the change is counted as accepted",
         WAIT_TIMEOUT,
--- a/tests/processes/exactly_once.rs
+++ b/tests/processes/exactly_once.rs
@@ -441,7 +441,7 @@
     assert_complete(&reply, 4);
 }
 
-/// The balancer sends a single request that is not repeatable twice.
+/// The balancer duplicates a request that must not run twice.
 #[tokio::test]
 async fn a_request_duplicated_by_the_balancer_runs_once() {
     let deployment = Deployment::start(Layout::default()).await;
--- a/tests/processes/planned_stop.rs
+++ b/tests/processes/planned_stop.rs
@@ -105,9 +105,9 @@
     for number in [0, 1] {
         stop_agent(&mut deployment, number).await;
     }
-    for (ticket, answer) in &jobs {
+    for (ticket, outcome) in &jobs {
         for entry in [0, 1] {
-            assert_eq!(&deployment.submit(entry, ticket, &body).await.body, answer);
+            assert_eq!(&deployment.submit(entry, ticket, &body).await.body, outcome);
         }
     }
     assert_eq!(deployment.assert_no_double_start().await, 36);
--- a/tests/processes/policy.rs
+++ b/tests/processes/policy.rs
@@ -48,7 +48,7 @@
     }
     let (mut done, mut rejected) = (0, 0);
     for submission in submissions {
-        let reply = submission.await.expect("answer");
+        let reply = submission.await.expect("joined");
         if reply.verdict() == "done" {
             done += 1;
         } else if reply.reason() == "overloaded" {
--- a/tests/processes/support/port.rs
+++ b/tests/processes/support/port.rs
@@ -16,8 +16,7 @@
 const SLOT_COUNT: u16 = 25;
 
 /// Returns an address with a port on which nothing listens. An ephemeral port could be assigned to
-/// an outgoing connection before the program binds it, so the ports come from a reserved range
-/// below.
+/// an outgoing connection before the program binds it, so these ports lie below that range.
 pub fn free_addr() -> SocketAddr {
     static SLOT: OnceLock<(u16, TcpListener)> = OnceLock::new();
     static NEXT: AtomicU16 = AtomicU16::new(0);
