--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command lines, exit codes and what each program does with them.
+//! Command-line arguments, commands, exit codes and main functions of the programs.
 
 mod args;
 mod commands;
@@ -17,7 +17,7 @@
     errors::RunError,
     listen::listen,
     operator_client::OperatorClient,
-    signals::{reload_signals, stop_signal},
+    signals::{log_reload_signals, stop_signal},
 };
 
 pub use mains::{agent_main, entry_main, load_main, operator_main, standin_main};
