--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Checks that what the pages name exists: files, tests, settings, metrics, reasons and flags.
+//! Checks that files, tests, settings, metrics, reasons and options named in the pages exist.
 
 #![allow(
     clippy::expect_used,
@@ -11,16 +11,16 @@
     path::{Path, PathBuf},
 };
 
-/// Folders whose text may hold what a page names.
+/// Folders that are searched for the names.
 const CODE_FOLDERS: [&str; 5] = ["src", "tests", "scripts", "examples", ".ci"];
-/// Files beside them.
+/// Single files that are searched for the names.
 const CODE_FILES: [&str; 2] = ["Cargo.toml", "Cargo.lock"];
 
-fn top() -> &'static Path {
+fn repository_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All files below a folder.
+/// All files in a folder and its subfolders.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for item in fs::read_dir(folder).expect("folder") {
@@ -35,16 +35,21 @@
 }
 
 fn pages() -> Vec<PathBuf> {
-    let mut pages = files_below(&top().join("docs"));
-    pages.extend(["README.md", "CONTRIBUTING.md", "CHANGELOG.md"].map(|page| top().join(page)));
+    let mut pages = files_below(&repository_root().join("docs"));
+    pages.extend(
+        ["README.md", "CONTRIBUTING.md", "CHANGELOG.md"].map(|page| repository_root().join(page)),
+    );
     pages.retain(|page| page.extension().is_some_and(|extension| extension == "md"));
     pages
 }
 
 fn code() -> String {
-    let mut files: Vec<PathBuf> = CODE_FILES.iter().map(|file| top().join(file)).collect();
+    let mut files: Vec<PathBuf> = CODE_FILES
+        .iter()
+        .map(|file| repository_root().join(file))
+        .collect();
     for folder in CODE_FOLDERS {
-        files.extend(files_below(&top().join(folder)));
+        files.extend(files_below(&repository_root().join(folder)));
     }
     let texts = files
         .iter()
@@ -52,13 +57,13 @@
     texts.collect::<Vec<_>>().join("\n")
 }
 
-/// The words of the code: what stands between characters that no name contains.
-fn words(text: &str) -> BTreeSet<&str> {
+/// All identifiers in a text.
+fn identifiers(text: &str) -> BTreeSet<&str> {
     text.split(|c: char| !c.is_alphanumeric() && c != '_')
         .collect()
 }
 
-/// The inline code of a page; fenced blocks are left out, since `scripts/run-page` runs them.
+/// Inline code of a page. Fenced blocks are skipped; `scripts/run-page` runs them.
 fn inline_code(page: &str) -> Vec<&str> {
     let mut spans = Vec::new();
     let mut fenced = false;
@@ -90,34 +95,34 @@
         "cli/",
         "standin/",
     ];
-    let begins = |prefix: &str| name.starts_with(prefix);
+    let has_prefix = |prefix: &str| name.starts_with(prefix);
     name.bytes()
         .all(|byte| byte.is_ascii_alphanumeric() || b"/._-".contains(&byte))
         && (["src/", "tests/", "scripts/", "docs/", "examples/"]
             .into_iter()
-            .any(begins)
-            || folders.into_iter().any(begins))
+            .any(has_prefix)
+            || folders.into_iter().any(has_prefix))
 }
 
 fn exists(path: &str) -> bool {
-    top().join(path).exists() || top().join("src").join(path).exists()
+    repository_root().join(path).exists() || repository_root().join("src").join(path).exists()
 }
 
-/// Whether a test is named `module::function`, with the file's or folder's name in front.
-fn test_exists(name: &str, words: &BTreeSet<&str>) -> bool {
+/// Whether the function of `module::function` exists; the module is not checked.
+fn test_exists(name: &str, identifiers: &BTreeSet<&str>) -> bool {
     let function = name.rsplit("::").next().expect("function");
-    words.contains(function)
+    identifiers.contains(function)
 }
 
-/// What is wrong with one name on a page, if anything.
-fn fault(name: &str, code: &str, words: &BTreeSet<&str>) -> Option<&'static str> {
+/// Returns what is wrong with a name on a page, if anything.
+fn fault(name: &str, code: &str, identifiers: &BTreeSet<&str>) -> Option<&'static str> {
     if let Some(flag) = name
         .split(' ')
         .next()
         .and_then(|name| name.strip_prefix("--"))
     {
         let field = flag.replace('-', "_");
-        let known = words.contains(field.as_str()) || code.contains(&format!("--{flag}"));
+        let known = identifiers.contains(field.as_str()) || code.contains(&format!("--{flag}"));
         return (!known).then_some("no such flag");
     }
     if is_path(name) {
@@ -129,16 +134,16 @@
                 .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'_')
         })
     {
-        return (!test_exists(name, words)).then_some("no such test");
+        return (!test_exists(name, identifiers)).then_some("no such test");
     }
     if let Some(metric) = name.strip_prefix("rattanslip_") {
-        // Prometheus adds the suffix to counters, and dots become underscores.
+        // The Prometheus exporter replaces dots by underscores and appends `_total` to counters.
         let plain = metric.strip_suffix("_total").unwrap_or(metric);
         let known = code.contains(&format!("rattanslip.{plain}"));
         return (!known).then_some("no such metric");
     }
     if is_snake_case(name) {
-        return (!words.contains(name)).then_some("no such name in the code");
+        return (!identifiers.contains(name)).then_some("no such name in the code");
     }
     if name.starts_with("rattanslip-") && !name.contains(' ') {
         let bare = name.split(':').next().unwrap_or(name);
@@ -149,14 +154,14 @@
 }
 
 #[test]
-fn what_the_pages_name_exists() {
+fn names_in_the_pages_exist() {
     let code = code();
-    let words = words(&code);
+    let identifiers = identifiers(&code);
     let mut faults = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("page");
         for name in inline_code(&text) {
-            if let Some(fault) = fault(name, &code, &words) {
+            if let Some(fault) = fault(name, &code, &identifiers) {
                 faults.push(format!("{}: `{name}`: {fault}", page.display()));
             }
         }
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     let mut faults = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("page");
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,16 +1,16 @@
-//! Tests with real processes on loopback: one program for all, so that it is linked once.
+//! Tests that start real processes on loopback, linked as one program to save build time.
 
 #![allow(
     clippy::expect_used,
     reason = "a test that can't be set up must fail loudly"
 )]
 
+mod client_requests;
 mod config;
+mod exactly_once;
 mod gate;
 mod membership;
-mod once;
 mod operators;
-mod path;
 mod planned_stop;
 mod policy;
 mod programs;
--- a/tests/processes/support/mod.rs
+++ b/tests/processes/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the process tests share: a deployment on loopback, an HTTP client, a faulty proxy.
+//! Support of the process tests: deployments on loopback, an HTTP client and a TCP proxy.
 
 #![allow(
     dead_code,
@@ -26,14 +26,17 @@
 
 use std::time::{Duration, Instant};
 
-/// Waits for a condition; fails loudly after `limit`.
-pub async fn eventually<F>(what: &str, limit: Duration, mut holds: impl FnMut() -> F)
+/// Polls a condition until it holds; panics after `timeout`.
+pub async fn eventually<F>(what: &str, timeout: Duration, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
     let started_at = Instant::now();
-    while !holds().await {
-        assert!(started_at.elapsed() < limit, "not within {limit:?}: {what}");
+    while !condition().await {
+        assert!(
+            started_at.elapsed() < timeout,
+            "not within {timeout:?}: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/processes/support/port.rs
+++ b/tests/processes/support/port.rs
@@ -1,4 +1,4 @@
-//! Ports for the programs that tests start.
+//! Listening ports of the programs that tests start.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -8,24 +8,21 @@
     },
 };
 
-/// The first port of all slots.
+/// Lowest port of all slots; below the ephemeral range (32768 and up).
 const FIRST_PORT: u16 = 10_000;
-/// Ports of one test program; its first one is held while it runs, as its claim to the rest.
-const SLOT_PORTS: u16 = 400;
-/// Test programs that can run at a time.
-const SLOTS: u16 = 25;
+/// Ports of one test program. It holds a listener on the first one to reserve the others.
+const PORTS_PER_SLOT: u16 = 400;
+/// Maximum number of concurrent test programs.
+const SLOT_COUNT: u16 = 25;
 
-/// A port on which nothing listens now.
-///
-/// Guards against "address already in use" at a program's start: a port that the system picks
-/// may be given to an outgoing connection before the program listens on it. These lie below the
-/// range that the system picks from (32768 and up), and no other test program uses the slot.
+/// Returns an address with a port on which nothing listens. An ephemeral port could be assigned to
+/// an outgoing connection before the program binds it, so these ports lie below that range.
 pub fn free_addr() -> SocketAddr {
     static SLOT: OnceLock<(u16, TcpListener)> = OnceLock::new();
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let (base, _) = SLOT.get_or_init(claim_slot);
+    let (base, _) = SLOT.get_or_init(reserve_slot);
     loop {
-        let offset = 1 + NEXT.fetch_add(1, Ordering::SeqCst) % (SLOT_PORTS - 1);
+        let offset = 1 + NEXT.fetch_add(1, Ordering::SeqCst) % (PORTS_PER_SLOT - 1);
         let addr = SocketAddr::from(([127, 0, 0, 1], base + offset));
         if TcpListener::bind(addr).is_ok() {
             return addr;
@@ -33,9 +30,9 @@
     }
 }
 
-fn claim_slot() -> (u16, TcpListener) {
-    (0..SLOTS)
-        .map(|slot| FIRST_PORT + slot * SLOT_PORTS)
+fn reserve_slot() -> (u16, TcpListener) {
+    (0..SLOT_COUNT)
+        .map(|slot| FIRST_PORT + slot * PORTS_PER_SLOT)
         .find_map(|base| Some((base, TcpListener::bind(("127.0.0.1", base)).ok()?)))
         .expect("a free slot of ports")
 }
