--- a/src/adapters/http/operator_api.rs
+++ b/src/adapters/http/operator_api.rs
@@ -98,7 +98,7 @@
     let state = match state.as_str() {
         "out" => ZoneState::Out,
         "in" => ZoneState::Open,
-        _ => return error_response(StatusCode::NOT_FOUND, "the path must end in /out or /in"),
+        _ => return error_response(StatusCode::NOT_FOUND, "the last part is out or in"),
     };
     let change = Change {
         edit: Edit::Zone { zone, state },
--- a/src/adapters/metrics/otel_metrics.rs
+++ b/src/adapters/metrics/otel_metrics.rs
@@ -86,7 +86,7 @@
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => String::from_utf8_lossy(&text).into_owned(),
-            Err(error) => format!("# failed to encode metrics: {error}\n"),
+            Err(error) => format!("# metrics can't be shown: {error}\n"),
         }
     }
 }
--- a/src/adapters/platform/http_store.rs
+++ b/src/adapters/platform/http_store.rs
@@ -70,9 +70,7 @@
         let body = read_body_with_idle_timeout(response.into_body(), self.timeout_ms).await;
         let body = body.map_err(StoreError::OutcomeUnknown)?;
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(StoreError::Unavailable(
-                "the platform returned status 503".to_owned(),
-            ));
+            return Err(StoreError::Unavailable("the platform is down".to_owned()));
         }
         Ok((status, body))
     }
@@ -97,7 +95,7 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("invalid response body: {error}")))
+        .map_err(|error| StoreError::OutcomeUnknown(format!("unreadable reply: {error}")))
 }
 
 fn unexpected(status: StatusCode) -> StoreError {
--- a/src/entry/apply_error.rs
+++ b/src/entry/apply_error.rs
@@ -11,7 +11,7 @@
     pub enum ApplyError {
         /// The token belongs to no operator.
         Unauthorized {
-            display("unknown operator token")
+            display("the token is not known")
         }
         /// The operator may not change this section.
         Forbidden(section: String) {
@@ -27,15 +27,15 @@
         }
         /// The base version isn't in the history.
         UnknownBase(version: u64) {
-            display("base version {} is not in the history", version)
+            display("there is no version {} to be based on", version)
         }
         /// The same sections have changed since the base version.
         Conflict(version: u64, conflicts: Vec<SectionConflict>) {
-            display("{} changed after the base version; version {} is in force", sections(conflicts), version)
+            display("{} changed since; version {} is in force", sections(conflicts), version)
         }
         /// Too many concurrent changes.
         Busy {
-            display("too many concurrent changes; nothing was changed")
+            display("too many changes at once; nothing was changed")
         }
         /// The platform is unavailable, and nothing was changed.
         Unavailable(error: StoreError) {
@@ -44,7 +44,7 @@
         /// The platform's reply was lost and the store couldn't be read afterwards: the change may
         /// have been accepted as this version.
         OutcomeUnknown(version: u64, detail: String) {
-            display("{}; version {} may have been accepted: check the history", detail, version)
+            display("{}; version {} may have been accepted: see the history", detail, version)
         }
     }
 }
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -306,7 +306,7 @@
 
 /// Entries that don't know this one yet wouldn't wait for its changes before they grant permits.
 fn not_known_to_all() -> ApplyError {
-    let detail = "not all entries on the roster know this one yet; use another entry".to_owned();
+    let detail = "not every entry on the roster knows this one yet; use another entry".to_owned();
     ApplyError::Unavailable(StoreError::Unavailable(detail))
 }
 
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -17,7 +17,7 @@
         }
         /// The response was lost; a write may have taken effect.
         OutcomeUnknown(detail: String) {
-            display("no valid response from the platform's store: {}", detail)
+            display("the platform's reply was lost: {}", detail)
         }
     }
 }
