--- a/src/cli/commands/words.rs
+++ b/src/cli/commands/describe.rs
@@ -1,19 +1,19 @@
-//! Replies of the configuration's routes in an operator's words.
+//! Text output for responses of the configuration API.
 
 use {jiff::Timestamp, serde_json::Value, std::fmt::Write};
 
-/// What a change does, a line each.
-pub(crate) fn describe_change(reply: &Value) -> String {
+/// Describes the differences of a change, one per line.
+pub(crate) fn describe_change(response: &Value) -> String {
     let mut text = String::new();
-    for difference in reply["differences"].as_array().into_iter().flatten() {
-        let words = difference["words"].as_str().unwrap_or_default();
+    for difference in response["differences"].as_array().into_iter().flatten() {
+        let line = difference["words"].as_str().unwrap_or_default();
         // Writing to a string can't fail.
-        let _ = writeln!(text, "  {words}");
+        let _ = writeln!(text, "  {line}");
     }
     if !text.is_empty() {
         return text;
     }
-    let sections: Vec<&str> = reply["sections"]
+    let sections: Vec<&str> = response["sections"]
         .as_array()
         .into_iter()
         .flatten()
@@ -25,7 +25,7 @@
     format!("  only comments, in {}\n", sections.join(", "))
 }
 
-/// Who changed what since, a line for each section.
+/// Describes conflicting changes, one line per section.
 pub(crate) fn describe_conflicts(detail: &Value) -> Vec<String> {
     let conflicts = detail["conflicts"].as_array();
     let mut lines: Vec<String> = conflicts
@@ -36,17 +36,17 @@
                 "section {}: changed by {} at {} in version {}; your document was made from version {}",
                 conflict["section"].as_str().unwrap_or_default(),
                 conflict["author"].as_str().unwrap_or_default(),
-                time_of(conflict),
+                change_time(conflict),
                 conflict["version"],
                 conflict["based_on"],
             )
         })
         .collect();
-    let based_on_nothing = conflicts
+    let lacks_base_version = conflicts
         .into_iter()
         .flatten()
         .any(|conflict| conflict["based_on"] == 0);
-    if based_on_nothing {
+    if lacks_base_version {
         lines.push(
             "say what it was made from: --based-on VERSION, or edit what `show` prints".to_owned(),
         );
@@ -54,8 +54,8 @@
     lines
 }
 
-/// The time of a section's last change, in UTC.
-pub(crate) fn time_of(change: &Value) -> String {
+/// Time of a section's last change, in UTC.
+pub(crate) fn change_time(change: &Value) -> String {
     change["changed_at_ms"]
         .as_i64()
         .and_then(|ms| Timestamp::from_millisecond(ms).ok())
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry from the command line.
+//! HTTP client of the command line for an entry.
 
 use {
     super::{RunError, commands::describe_conflicts},
@@ -8,17 +8,17 @@
     std::net::SocketAddr,
 };
 
-/// An entry and the token to show it.
+/// Client of one entry, with the operator's token.
 #[derive(Debug)]
 pub(crate) struct OperatorClient {
     client: HttpClient,
     entry: SocketAddr,
     authorization: Option<String>,
-    prints_refusals: bool,
+    prints_errors: bool,
 }
 
 impl OperatorClient {
-    /// A client of this entry.
+    /// Creates a client; fails if no entry is given.
     pub(crate) fn new(entry: Option<SocketAddr>, token: Option<&str>) -> Result<Self, RunError> {
         let entry = entry.ok_or_else(|| {
             RunError::Usage("name an entry with --entry or RATTANSLIP_ENTRY".to_owned())
@@ -27,19 +27,19 @@
             client: HttpClient::new(),
             entry,
             authorization: token.map(|token| format!("Bearer {token}")),
-            prints_refusals: false,
+            prints_errors: false,
         })
     }
 
-    /// The same client, which also prints refusals as the entry sent them if asked to.
-    pub(crate) fn printing_refusals(self, prints_refusals: bool) -> Self {
+    /// Sets whether the JSON of error responses is printed.
+    pub(crate) fn printing_errors(self, prints_errors: bool) -> Self {
         Self {
-            prints_refusals,
+            prints_errors,
             ..self
         }
     }
 
-    /// Sends a request and returns whatever the entry replies.
+    /// Sends a request and returns the response, whatever its status.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -58,33 +58,33 @@
             .map_err(|error| RunError::Unreachable(error.to_string()))
     }
 
-    /// Sends a request and returns the JSON of a success; a refusal is an error.
-    pub(crate) async fn json(
+    /// Sends a request and returns the JSON body; an unsuccessful status is an error.
+    pub(crate) async fn request_json(
         &self,
         method: Method,
         path: &str,
         body: String,
     ) -> Result<Value, RunError> {
-        let reply = self.send(method, path, &[], body).await?;
-        let value: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
-        if reply.status.is_success() {
+        let response = self.send(method, path, &[], body).await?;
+        let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        if response.status.is_success() {
             return Ok(value);
         }
-        if self.prints_refusals {
+        if self.prints_errors {
             println!("{value}");
         }
-        let description = describe_refusal(&reply, &value);
-        Err(match (reply.status, value["detail"].is_array()) {
-            (StatusCode::BAD_REQUEST, true) => RunError::BadDocument(description),
+        let description = describe_error_response(&response, &value);
+        Err(match (response.status, value["detail"].is_array()) {
+            (StatusCode::BAD_REQUEST, true) => RunError::InvalidDocument(description),
             (StatusCode::GATEWAY_TIMEOUT, _) => RunError::Failed(description),
             _ => RunError::Refused(description),
         })
     }
 }
 
-fn describe_refusal(reply: &HttpClientResponse, value: &Value) -> String {
+fn describe_error_response(response: &HttpClientResponse, value: &Value) -> String {
     let error = value["error"].as_str().unwrap_or_default();
-    let mut lines = vec![format!("refused ({}): {error}", reply.status)];
+    let mut lines = vec![format!("refused ({}): {error}", response.status)];
     for fault in value["detail"].as_array().into_iter().flatten() {
         let line = &fault["line"];
         let field = fault["field"].as_str().unwrap_or_default();
--- a/src/conf/service_settings.rs
+++ b/src/conf/program_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a service program, for either kind of deployment.
+//! Settings of `rattanslip-entry` and `rattanslip-agent` for each kind of deployment.
 
 use super::{
     AgentSettings, EntrySettings, LogSettings, TableReader,
@@ -7,15 +7,15 @@
 
 /// Settings of `rattanslip-entry`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum EntryProgram {
-    /// With the product's own interfaces.
+pub(crate) enum EntryProgramSettings {
+    /// For a standalone deployment.
     Standalone(EntrySettings),
-    /// On a site.
+    /// For a site.
     Site(SiteEntrySettings),
 }
 
-impl EntryProgram {
-    /// Reads the file's root table.
+impl EntryProgramSettings {
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
             Deployment::Standalone => Self::Standalone(EntrySettings::read(reader)),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) const fn log(&self) -> &LogSettings {
         match self {
             Self::Standalone(settings) => &settings.log,
@@ -34,15 +34,15 @@
 
 /// Settings of `rattanslip-agent`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AgentProgram {
-    /// With the product's own interfaces.
+pub(crate) enum AgentProgramSettings {
+    /// For a standalone deployment.
     Standalone(AgentSettings),
-    /// On a site.
+    /// For a site.
     Site(SiteAgentSettings),
 }
 
-impl AgentProgram {
-    /// Reads the file's root table.
+impl AgentProgramSettings {
+    /// Reads the root table of the settings file.
     pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         match Deployment::read(reader) {
             Deployment::Standalone => Self::Standalone(AgentSettings::read(reader)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// How the process logs.
+    /// Settings of the process log.
     pub(crate) const fn log(&self) -> &LogSettings {
         match self {
             Self::Standalone(settings) => &settings.log,
--- a/src/conf/table_reader.rs
+++ b/src/conf/table_reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables field by field and gathers every fault with its line.
+//! Reads TOML tables field by field and collects all faults with their lines.
 
 use {
     super::Fault,
@@ -12,18 +12,18 @@
     toml_edit::{Document, Item, TableLike},
 };
 
-/// One table of a file; fields that nobody asked for are faults.
+/// Reader of one TOML table; a field that is never requested is a fault.
 pub(crate) struct TableReader<'a> {
     text: &'a str,
     path: String,
     table: Option<&'a dyn TableLike>,
     span: Option<Range<usize>>,
-    known: BTreeSet<String>,
+    requested: BTreeSet<String>,
     faults: &'a RefCell<Vec<Fault>>,
 }
 
 impl<'a> TableReader<'a> {
-    /// Parses the text and hands its root table to `read`.
+    /// Parses the text and reads its root table with `read`.
     pub(crate) fn read_text<T>(
         text: &str,
         read: impl FnOnce(&mut TableReader<'_>) -> T,
@@ -33,7 +33,7 @@
             Err(error) => {
                 let start = error.span().map_or(0, |span| span.start);
                 return Err(vec![Fault {
-                    line: line_at(text, start),
+                    line: line_number_at(text, start),
                     section: section_at(text, start),
                     field: String::new(),
                     message: error.message().to_owned(),
@@ -46,11 +46,11 @@
             path: String::new(),
             table: Some(document.as_table()),
             span: None,
-            known: BTreeSet::new(),
+            requested: BTreeSet::new(),
             faults: &faults,
         };
         let value = read(&mut reader);
-        reader.finish();
+        reader.report_unknown_fields();
         let mut faults = faults.into_inner();
         if faults.is_empty() {
             return Ok(value);
@@ -59,7 +59,7 @@
         Err(faults)
     }
 
-    /// The path of one of the table's fields.
+    /// Full path of a field of this table.
     pub(crate) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_owned();
@@ -67,19 +67,19 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Notes a fault of one of the table's fields.
-    pub(crate) fn fault(&self, key: &str, message: impl Into<String>) {
+    /// Records a fault of a field of this table.
+    pub(crate) fn report_fault(&self, key: &str, message: impl Into<String>) {
         let span = self
             .table
             .and_then(|table| table.get_key_value(key))
             .and_then(|(key, item)| key.span().or_else(|| item.span()))
             .or_else(|| self.span.clone());
         let field = self.path_of(key);
-        self.push(span, field, message.into());
+        self.push_fault(span, field, message.into());
     }
 
-    /// Notes a fault of a field further down, at the line of the nearest table or field there is.
-    pub(crate) fn fault_at(&self, path: &[&str], message: impl Into<String>) {
+    /// Records a fault of a nested field, at the line of its innermost existing parent.
+    pub(crate) fn report_fault_at(&self, path: &[&str], message: impl Into<String>) {
         let mut table = self.table;
         let mut span = self.span.clone();
         for key in path {
@@ -92,30 +92,30 @@
             };
             table = item.as_table_like();
         }
-        self.push(span, self.path_of(&path.join(".")), message.into());
+        self.push_fault(span, self.path_of(&path.join(".")), message.into());
     }
 
-    /// Notes a fault if a table is written without a header, as `zones.a = {}` or `zones = {}`.
+    /// Records a fault if a table is written without a header, as `zones.a = {}` or `zones = {}`.
     pub(crate) fn require_header(&self, key: &str) {
         let item = self.table.and_then(|table| table.get(key));
         let has_header = |item: &Item| item.as_table().is_none_or(|table| !table.is_dotted());
         if item.is_some_and(|item| item.is_inline_table() || !has_header(item)) {
             let message = format!("must be written with headers, such as [{key}.NAME]");
-            self.fault(key, message);
+            self.report_fault(key, message);
         }
     }
 
-    fn push(&self, span: Option<Range<usize>>, field: String, message: String) {
+    fn push_fault(&self, span: Option<Range<usize>>, field: String, message: String) {
         let section = field.split('.').next().unwrap_or_default().to_owned();
         self.faults.borrow_mut().push(Fault {
-            line: line_at(self.text, span.map_or(0, |span| span.start)),
+            line: line_number_at(self.text, span.map_or(0, |span| span.start)),
             section,
             field,
             message,
         });
     }
 
-    /// The names of the table's fields.
+    /// Names of the fields of this table.
     pub(crate) fn keys(&self) -> Vec<String> {
         self.table
             .map(|table| table.iter().map(|(key, _)| key.to_owned()).collect())
@@ -123,11 +123,11 @@
     }
 
     fn item(&mut self, key: &str) -> Option<&'a Item> {
-        self.known.insert(key.to_owned());
+        self.requested.insert(key.to_owned());
         self.table.and_then(|table| table.get(key))
     }
 
-    /// A table within this one; an absent one reads as empty.
+    /// Reads a subtable; an absent one is read as empty.
     pub(crate) fn table<T>(
         &mut self,
         key: &str,
@@ -136,7 +136,7 @@
         let item = self.item(key);
         let table = item.and_then(Item::as_table_like);
         if item.is_some() && table.is_none() {
-            self.fault(key, "must be a table");
+            self.report_fault(key, "must be a table");
         }
         let span = item.and_then(Item::span).or_else(|| {
             self.table
@@ -148,52 +148,52 @@
             path: self.path_of(key),
             table,
             span: span.or_else(|| self.span.clone()),
-            known: BTreeSet::new(),
+            requested: BTreeSet::new(),
             faults: self.faults,
         };
         let value = read(&mut reader);
-        reader.finish();
+        reader.report_unknown_fields();
         value
     }
 
-    /// A string, or the default; without a default the field is required.
+    /// Reads a string; the field is required if there is no default.
     pub(crate) fn string(&mut self, key: &str, default: Option<&str>) -> String {
         match self.item(key).map(|item| item.as_str()) {
             Some(Some(text)) => return text.to_owned(),
-            Some(None) => self.fault(key, "must be a string"),
-            None if default.is_none() => self.fault(key, "is required"),
+            Some(None) => self.report_fault(key, "must be a string"),
+            None if default.is_none() => self.report_fault(key, "is required"),
             None => {}
         }
         default.unwrap_or_default().to_owned()
     }
 
-    /// A non-empty string.
+    /// Reads a required, non-empty string.
     pub(crate) fn name(&mut self, key: &str) -> String {
         let present = self.table.is_some_and(|table| table.contains_key(key));
         let text = self.string(key, None);
         if present && text.trim().is_empty() {
-            self.fault(key, "must not be empty");
+            self.report_fault(key, "must not be empty");
         }
         text
     }
 
-    /// One of a few words.
+    /// Reads one of the given values, or the default.
     pub(crate) fn choice<T: Copy>(&mut self, key: &str, choices: &[(&str, T)], default: T) -> T {
         let Some(item) = self.item(key) else {
             return default;
         };
         let found = item
             .as_str()
-            .and_then(|text| choices.iter().find(|(word, _)| *word == text));
+            .and_then(|text| choices.iter().find(|(name, _)| *name == text));
         if let Some((_, value)) = found {
             return *value;
         }
-        let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
-        self.fault(key, format!("must be one of {}", words.join(", ")));
+        let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
+        self.report_fault(key, format!("must be one of {}", names.join(", ")));
         default
     }
 
-    /// A whole number within a range, or the default.
+    /// Reads an integer within a range; the field is required if there is no default.
     pub(crate) fn number<N>(&mut self, key: &str, range: RangeInclusive<N>, default: Option<N>) -> N
     where
         N: Copy + PartialOrd + Display + TryFrom<i64>,
@@ -201,7 +201,7 @@
         let fallback = default.unwrap_or(*range.start());
         let Some(item) = self.item(key) else {
             if default.is_none() {
-                self.fault(key, "is required");
+                self.report_fault(key, "is required");
             }
             return fallback;
         };
@@ -210,30 +210,30 @@
             Some(value) if range.contains(&value) => value,
             _ => {
                 let (low, high) = (range.start(), range.end());
-                self.fault(key, format!("must be a whole number from {low} to {high}"));
+                self.report_fault(key, format!("must be a whole number from {low} to {high}"));
                 fallback
             }
         }
     }
 
-    /// True or false, or the default.
+    /// Reads a boolean, or the default.
     pub(crate) fn boolean(&mut self, key: &str, default: bool) -> bool {
         let Some(item) = self.item(key) else {
             return default;
         };
         item.as_bool().unwrap_or_else(|| {
-            self.fault(key, "must be true or false");
+            self.report_fault(key, "must be true or false");
             default
         })
     }
 
-    /// A list of strings; an absent one reads as empty.
+    /// Reads a list of strings; an absent one is read as empty.
     pub(crate) fn strings(&mut self, key: &str) -> Vec<String> {
         let Some(item) = self.item(key) else {
             return Vec::new();
         };
         let Some(array) = item.as_array() else {
-            self.fault(key, "must be a list of strings");
+            self.report_fault(key, "must be a list of strings");
             return Vec::new();
         };
         let texts: Vec<String> = array
@@ -241,12 +241,12 @@
             .filter_map(|value| value.as_str().map(str::to_owned))
             .collect();
         if texts.len() != array.len() {
-            self.fault(key, "must be a list of strings");
+            self.report_fault(key, "must be a list of strings");
         }
         texts
     }
 
-    /// An IP number with a port; host names aren't looked up.
+    /// Reads a required IP address with a port; host names are not resolved.
     pub(crate) fn socket_addr(&mut self, key: &str) -> SocketAddr {
         let fallback = SocketAddr::from(([127, 0, 0, 1], 0));
         let present = self.table.is_some_and(|table| table.contains_key(key));
@@ -255,15 +255,15 @@
             return fallback;
         }
         text.parse().unwrap_or_else(|_| {
-            self.fault(
+            self.report_fault(
                 key,
-                "must be an IP number with a port, such as 127.0.0.1:7000",
+                "must be an IP address with a port, such as 127.0.0.1:7000",
             );
             fallback
         })
     }
 
-    /// An IP number with a port, or the default.
+    /// Reads an IP address with a port, or the default.
     pub(crate) fn socket_addr_or(&mut self, key: &str, default: SocketAddr) -> SocketAddr {
         if self.table.is_some_and(|table| table.contains_key(key)) {
             return self.socket_addr(key);
@@ -271,27 +271,27 @@
         default
     }
 
-    /// A list of IP numbers with ports.
+    /// Reads a list of IP addresses with ports; an absent one is read as empty.
     pub(crate) fn socket_addrs(&mut self, key: &str) -> Vec<SocketAddr> {
         let texts = self.strings(key);
         let addrs: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
         if addrs.len() != texts.len() {
-            self.fault(key, "each must be an IP number with a port");
+            self.report_fault(key, "each must be an IP address with a port");
         }
         addrs
     }
 
-    fn finish(&self) {
+    fn report_unknown_fields(&self) {
         for key in self.keys() {
-            if !self.known.contains(&key) {
-                self.fault(&key, "unknown field");
+            if !self.requested.contains(&key) {
+                self.report_fault(&key, "unknown field");
             }
         }
     }
 }
 
-/// The line, from 1, of a position in the text.
-fn line_at(text: &str, position: usize) -> usize {
+/// Line number, from 1, of a byte position in the text.
+fn line_number_at(text: &str, position: usize) -> usize {
     let end = position.min(text.len());
     1 + text.as_bytes()[..end]
         .iter()
@@ -299,7 +299,7 @@
         .count()
 }
 
-/// The first name of the header above a position, for faults of syntax.
+/// Section of the nearest header at or above a position, for syntax errors.
 fn section_at(text: &str, position: usize) -> String {
     let end = text[position.min(text.len())..]
         .find('\n')
