--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -170,11 +170,11 @@
     let started_at = Instant::now();
     let record = backend.record_start(task);
     if faults.fail_all {
-        return (StatusCode::INTERNAL_SERVER_ERROR, "injected fault").into_response();
+        return (StatusCode::INTERNAL_SERVER_ERROR, "told to fail").into_response();
     }
     let (work_ms, output) = input.split_once(' ').unwrap_or((input.as_str(), ""));
     let Ok(work_ms) = work_ms.parse::<u64>() else {
-        let message = "task input must start with a run time in milliseconds";
+        let message = "the input begins with a number of milliseconds";
         return (StatusCode::BAD_REQUEST, message).into_response();
     };
     let factor = u64::from(faults.slow_factor.max(1));
