--- a/src/adapters/backend/gated_connection.rs
+++ b/src/adapters/backend/gated_connection.rs
@@ -64,8 +64,8 @@
         !self.permit.is_valid(self.timer.now())
     }
 
-    /// Checks the permit right before the system call that writes. A process may have been
-    /// suspended since it accepted the start, until after its permit expired and its zone was evacuated.
+    /// Checks the permit right before the system call that writes: the process may have been suspended
+    /// after it accepted the start and resumed after its permit expired and its zone was evacuated.
     fn authorize_write(&self) -> io::Result<()> {
         if self.state.load(Ordering::SeqCst) == WRITTEN {
             return Ok(());
--- a/src/adapters/http/client_api.rs
+++ b/src/adapters/http/client_api.rs
@@ -37,7 +37,7 @@
 const MAX_TICKETS: usize = 1_000;
 /// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// Retry delay sent to clients while no home grants tickets.
+/// Retry delay sent to clients while the entry has no tickets or no configuration.
 const TICKET_RETRY_AFTER_MS: u64 = 500;
 
 #[derive(Debug, Deserialize)]
--- a/src/adapters/http/entry_api.rs
+++ b/src/adapters/http/entry_api.rs
@@ -30,7 +30,7 @@
     pub(crate) max_deadline_ms: u64,
 }
 
-/// Extracts the entry's API in handlers.
+/// Extractor of the routes' state in handlers.
 pub(crate) type Api<'a> = Data<&'a Arc<EntryApi>>;
 
 /// Serves clients and operators until `stop` resolves, then completes the requests in progress.
--- a/src/adapters/http/known_job.rs
+++ b/src/adapters/http/known_job.rs
@@ -15,10 +15,10 @@
 
 /// Replaces a rejection by the job's outcome if the request resubmits a known job.
 ///
-/// A request with a ticket or idempotency key is rejected as "not run" only if its home doesn't know
-/// the job. Otherwise a client whose first response was lost could resubmit a job that ran, get a false
-/// "not run" from an entry that has no configuration yet or no longer knows the service, and submit
-/// the job again under another ticket.
+/// A request with a ticket or idempotency key is rejected only if a poll of its job yields "unknown"
+/// or "not run" too. Otherwise a client whose first response was lost could resubmit a job that ran,
+/// get a false "not run" from an entry that has no configuration yet or no longer knows the service,
+/// and submit the job again under another ticket.
 pub(super) async fn replace_if_known(
     api: &EntryApi,
     request: &Request,
--- a/src/adapters/metrics/otel_metrics.rs
+++ b/src/adapters/metrics/otel_metrics.rs
@@ -19,7 +19,7 @@
     counters: BTreeMap<Counter, OtelCounter<u64>>,
     gauges: BTreeMap<Gauge, OtelGauge<u64>>,
     histograms: BTreeMap<Histogram, OtelHistogram<u64>>,
-    // Keeps the reader alive that the registry gathers from.
+    // Keeps alive the reader that the registry gathers from.
     _provider: SdkMeterProvider,
 }
 
--- a/src/adapters/peer/awaited_tasks.rs
+++ b/src/adapters/peer/awaited_tasks.rs
@@ -25,7 +25,7 @@
 /// Tracks a session's frames to determine whether a reply is awaited on its connection.
 ///
 /// A reply is awaited from a hello to the welcome, from a start or query to the outcome and from a
-/// demand to the offers. Only then the connection is pinged to detect an unresponsive runner.
+/// demand to the offers. Only then is the connection pinged to detect an unresponsive runner.
 #[derive(Debug)]
 pub(crate) struct AwaitedTasks {
     activity: Arc<ConnectionActivity>,
--- a/src/adapters/peer/frame_pump.rs
+++ b/src/adapters/peer/frame_pump.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends queued frames in one batch.
+/// Sends frames until all senders are dropped; queued frames are sent in one batch.
 async fn send_frames<Out: Serialize>(
     body: &mut SendStream<Bytes>,
     outgoing: &mut mpsc::UnboundedReceiver<Out>,
--- a/src/adapters/peer/h2_client.rs
+++ b/src/adapters/peer/h2_client.rs
@@ -217,7 +217,7 @@
 
 /// Writes frames in batches until the session is dropped or idle.
 ///
-/// To the home an idle session looks disconnected; it opens a new one when needed.
+/// To the home an idle session looks disconnected; the home opens a new one when needed.
 async fn write_frames(
     mut stream: SendStream<Bytes>,
     mut frames: mpsc::UnboundedReceiver<HomeFrame>,
--- a/src/adapters/peer/liveness.rs
+++ b/src/adapters/peer/liveness.rs
@@ -20,7 +20,8 @@
 /// state, so that calls and sessions fail before their deadline. Since a pong may be queued behind a
 /// large message on a slow link, any received byte counts as a sign of life.
 ///
-/// No pings are sent while no reply is awaited: a process may have thousands of idle connections.
+/// No pings are sent while no reply is awaited: a process may have thousands of idle connections, whose
+/// pings alone would exceed the budget for control traffic many times over.
 pub(crate) async fn until_unresponsive(
     mut pings: PingPong,
     activity: &ConnectionActivity,
--- a/src/adapters/peer/tests.rs
+++ b/src/adapters/peer/tests.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// An unresponsive runner behind a relay that can be told to drop all traffic without closing.
+/// An unresponsive runner behind a relay that drops all traffic, without closing, once the sender is set.
 async fn unresponsive_runner_behind_relay(
     metrics: &Arc<OtelMetrics>,
 ) -> (SocketAddr, watch::Sender<bool>) {
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -31,7 +31,7 @@
     /// Delay added to every call.
     slow_ms: u64,
     /// Number of writes to apply without sending a response; writes of roster rows are not
-    /// counted, because entries make them at any time.
+    /// counted, because entries write them at any time.
     lose_write_replies: u32,
 }
 
