--- a/src/core/dispatch/client_deadlines.rs
+++ b/src/core/dispatch/client_deadlines.rs
@@ -1,4 +1,4 @@
-//! Estimates from clients' deadlines for how long they have already waited.
+//! Estimates how long a job's client has already waited, from the time left until its deadline.
 
 use {crate::core::routes::Route, std::collections::BTreeMap};
 
--- a/src/core/dispatch/connectivity.rs
+++ b/src/core/dispatch/connectivity.rs
@@ -62,8 +62,8 @@
     ///
     /// Without frames from any agent this entry may be isolated: its agents have stopped its runs,
     /// and a client whose disconnect it has not seen may have submitted its job to another entry. A
-    /// client that still waits retries on "may have run", and retries at an entry with agents if
-    /// nothing was started.
+    /// client that still waits gets "may have run", or "not run" if nothing was started, and may
+    /// submit its job to an entry with agents.
     pub(super) fn end_isolated_jobs(&mut self, now: Instant) {
         let isolation_timeout_ms = self.settings.limits.isolation_timeout_ms;
         let last_heard_at = self.connectivity.last_heard_at;
--- a/src/core/dispatch/dispatch_log_event.rs
+++ b/src/core/dispatch/dispatch_log_event.rs
@@ -99,7 +99,7 @@
     },
     /// A session with an agent was opened.
     AgentConnected { agent: String },
-    /// A hello is older than the agent's latest timestamp; the session is closed.
+    /// A hello is not newer than the agent's latest timestamp; the session is closed.
     HelloOutdated { agent: String },
     /// A session with an agent has ended.
     AgentLost {
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -13,7 +13,8 @@
 /// loss of any two is tolerated.
 const DOCUMENT_HOLDERS: usize = 3;
 /// How long an agent must hold a newer document before the entry fetches it, in milliseconds; an
-/// entry with access to the store reads it there in the meantime.
+/// entry with access to the store reads it there in the meantime. An entry without a document does
+/// not wait.
 const FETCH_DELAY_MS: u64 = 400;
 
 impl Dispatcher {
@@ -33,7 +34,7 @@
         self.document_behind_since = None;
     }
 
-    /// Fetches the document from an agent that reports a newer revision for long enough.
+    /// Fetches the document from this agent if it is newer and [`FETCH_DELAY_MS`] has passed.
     pub(super) fn fetch_document(&mut self, now: Instant, link: LinkId, revision: u64) {
         let held = self.document.revision();
         if revision <= held {
--- a/src/core/dispatch/placement.rs
+++ b/src/core/dispatch/placement.rs
@@ -99,7 +99,7 @@
     }
 
     /// Places the other tasks of a job whose first task was just started. Those without a fitting
-    /// worker go before jobs that have not begun.
+    /// worker stay queued ahead of jobs that have not begun.
     fn place_remaining_tasks(&mut self, now: Instant, key: JobKey) {
         for waiting in self.queue.drain_job(key) {
             self.enqueue(now, key, waiting.task);
@@ -195,8 +195,8 @@
     (share / worker.slowness).powi(2).max(MIN_WEIGHT) * data_rack_factor * risk_factor
 }
 
-/// Whether the task should avoid this worker: its last run ended badly there, or it has failed
-/// before and the worker is not healthy.
+/// Whether the task should avoid this worker: its latest run failed, was stopped or lost, or was
+/// rejected there, or it has failed before and the worker is not healthy.
 ///
 /// Otherwise a few failing workers could use up all attempts of a task, although most workers are
 /// healthy.
--- a/src/core/dispatch/worker_link.rs
+++ b/src/core/dispatch/worker_link.rs
@@ -171,7 +171,7 @@
         starts.fold(self.report.free, |free, (_, needs)| free.minus(*needs))
     }
 
-    /// Whether another such start order may be sent before the agent's next report.
+    /// Whether a start order for these resources may be sent before the agent's next report.
     ///
     /// All entries see the same free capacity. If each of them filled it, for example when the
     /// agents of a whole site reconnect, the worker would reject most of the orders. An entry
--- a/src/core/execution/capacity.rs
+++ b/src/core/execution/capacity.rs
@@ -25,12 +25,12 @@
 /// By then its task runs elsewhere or was cancelled, and the entry may have smaller tasks that fit.
 const REQUEST_EXPIRY_MS: u64 = 500;
 
-/// Capacity that an entry asked for and did not get.
+/// Capacity that an entry requested and did not get.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CapacityRequest {
     /// The smallest request that was rejected.
     needs: Resources,
-    /// When a start of the entry was last rejected or accepted.
+    /// When a start of the entry was last rejected, or used a reservation.
     renewed_at: Instant,
 }
 
--- a/src/core/execution/lease.rs
+++ b/src/core/execution/lease.rs
@@ -17,7 +17,8 @@
 const LONG_POLL_MS: u64 = 400;
 /// Long poll timeout while nothing runs, in milliseconds.
 const IDLE_LONG_POLL_MS: u64 = 1_500;
-/// Time beyond its timeout after which a long poll counts as failed, in milliseconds.
+/// Time beyond [`IDLE_LONG_POLL_MS`] after which a long poll without a response is repeated, in
+/// milliseconds.
 const LONG_POLL_SLACK_MS: u64 = 200;
 /// Failed polls after which an idle worker counts as unavailable.
 const MAX_FAILED_POLLS: u32 = 3;
@@ -148,8 +149,8 @@
             return;
         };
         let unresponsive = now.millis_since(worker.last_response_at) >= lease_ms;
-        // An idle worker may hold a poll for longer than the lease, so failed polls count instead
-        // of time.
+        // An idle worker may hold a poll for longer than the lease, so the elapsed time alone does
+        // not show that it is unavailable.
         let has_failed =
             unresponsive && (!self.runs.is_empty() || worker.failed_polls >= MAX_FAILED_POLLS);
         if !worker.ready || !has_failed || now < worker.lease_expires_at {
--- a/src/core/execution/run.rs
+++ b/src/core/execution/run.rs
@@ -10,7 +10,8 @@
 pub(super) enum StartState {
     /// The start call is in flight.
     Pending,
-    /// The outcome of the start call is unknown until a hold call with a higher token is answered.
+    /// The outcome of the start call is unknown until the worker responds to a hold call with a
+    /// higher token.
     Unresolved {
         /// Token of the start call.
         token: u64,
--- a/src/core/execution/run_calls.rs
+++ b/src/core/execution/run_calls.rs
@@ -147,8 +147,8 @@
     /// Raises the fencing token above that of a start call without a response.
     ///
     /// The call could otherwise start the run seconds later, while its task already runs elsewhere.
-    /// Once the worker has answered a hold call with the higher token, it either lists the run or
-    /// will reject the start call whenever that arrives.
+    /// Once the worker has responded to a hold call with the higher token, it either lists the run
+    /// or will reject the start call whenever that arrives.
     fn mark_run_uncertain(&mut self, task: TaskId, call_token: u64) {
         if self.token <= call_token {
             self.token = call_token + 1;
--- a/src/core/execution/run_list.rs
+++ b/src/core/execution/run_list.rs
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Marks the worker ready once its run list contains no orphaned runs.
+    /// Marks the worker ready once its run list under the current token contains no orphaned runs.
     fn mark_worker_ready(&mut self, call: &HoldCall, orphans: usize) {
         let token = self.token;
         let Some(worker) = &mut self.worker else {
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -30,7 +30,8 @@
     /// Start orders received on this session.
     pub(super) starts_seen: u32,
     pub(super) capacity: ReportedCapacity,
-    /// Since when the entry uses older zones than this agent knows.
+    /// Since when the entry uses older zones than this agent, or when the newer ones were last sent
+    /// to it.
     pub(super) zones_outdated_since: Option<Instant>,
     /// Since when the entry names this agent as a holder of the document.
     pub(super) holder_since: Option<Instant>,
@@ -65,7 +66,7 @@
         });
         let link = EntryLink {
             entry,
-            // Nothing starts before the entry has echoed the first time stamp.
+            // Nothing starts before the entry has echoed the first timestamp.
             lease_until: now,
             last_received_at: now,
             starts_seen: 0,
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Extends the entry's lease by its echo of a time stamp.
+    /// Extends the entry's lease by its echo of a timestamp.
     ///
-    /// The lease counts from a stamp of this agent's own clock, so delayed frames do not extend it,
-    /// and the entry knows an upper bound of it from when the stamp arrived there. This prevents a
-    /// second run of a task after the connection was interrupted.
+    /// The lease counts from a timestamp of this agent's own clock, so delayed frames do not extend
+    /// it. The entry derives an upper bound of the lease from the time at which that timestamp
+    /// arrived. This prevents a second run of a task after the connection was interrupted.
     fn on_entry_heartbeat(
         &mut self,
         now: Instant,
@@ -206,7 +207,7 @@
         self.send(session, frame);
     }
 
-    /// Why the start order must be rejected, if it must.
+    /// Why the start order must be rejected; `None` if it may be accepted.
     fn reject_reason(
         &self,
         now: Instant,
@@ -248,7 +249,8 @@
         }
     }
 
-    /// Closes sessions whose lease has expired.
+    /// Closes sessions whose lease has expired, if no frame has arrived for the liveness timeout or
+    /// the lease has not been extended for that long after its expiry.
     pub(super) fn close_unresponsive_sessions(&mut self, now: Instant) {
         let liveness_timeout_ms = self.settings.limits.liveness_timeout_ms;
         let unresponsive: Vec<SessionId> = self
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Closes a session and stops its runs.
+    /// Removes a session and stops its runs.
     ///
     /// The entry either has no clients left or waits until its runs here have finished.
     pub(super) fn disconnect_session(
--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -14,7 +14,7 @@
 };
 
 const SESSION: SessionId = SessionId(1);
-/// Start time of the worker's incarnation, in milliseconds since 1970.
+/// Start time of the worker's incarnation, in milliseconds since the Unix epoch.
 const BORN_MS: u64 = 5_000;
 
 /// An executor with its clock and its latest actions.
--- a/src/core/link/entry_frame.rs
+++ b/src/core/link/entry_frame.rs
@@ -26,9 +26,9 @@
 /// A frame from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum EntryFrame {
-    /// Heartbeat of the entry, which echoes the agent's newest time stamp.
+    /// Heartbeat of the entry, which echoes the agent's newest timestamp.
     Beat {
-        /// The newest time stamp received, in microseconds on the agent's clock.
+        /// The newest timestamp received, in microseconds on the agent's clock.
         echo_us: u64,
         /// Version of the evacuated zones that the entry uses.
         news_version: u64,
--- a/src/core/work/run_limits.rs
+++ b/src/core/work/run_limits.rs
@@ -14,7 +14,7 @@
     pub(crate) lease_ms: u64,
     /// Maximum time that a worker takes to stop a run.
     pub(crate) stop_ms: u64,
-    /// Time without a message from any agent after which an entry abandons its jobs.
+    /// Time without a message from any agent after which an entry gives up its jobs.
     pub(crate) isolation_timeout_ms: u64,
 }
 
@@ -32,7 +32,7 @@
     ///
     /// The liveness timeout and the lease leave enough of that time for a stop, the worker's clock
     /// drift and scheduling. An entry considers itself isolated after three quarters of it, so
-    /// that it has abandoned a job before a copy of the job can run elsewhere.
+    /// that it has given up a job before a copy of the job can run elsewhere.
     pub(crate) const fn for_resend(resend_ms: u64, stop_ms: u64) -> Self {
         let (liveness_timeout_ms, lease_ms) = (resend_ms * 45 / 100, resend_ms / 3);
         Self {
--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -33,8 +33,8 @@
 const MAX_STORE_BACKOFF_MS: u64 = 1_000;
 /// Range of the random delay between a change of the list and reading it, in milliseconds.
 ///
-/// Entries that start together make many changes; the delay lets each agent read them at once
-/// and spreads the agents' reads.
+/// Entries that start together make many changes. With a read for each of them, a thousand agents
+/// would overload the store; the delay lets one read cover several changes and spreads the reads.
 const REREAD_DELAY_RANGE_MS: (u64, u64) = (200, 800);
 /// Backoff after a failed connection to an entry, in milliseconds.
 const INITIAL_DIAL_BACKOFF_MS: u64 = 50;
--- a/src/site_agent/run.rs
+++ b/src/site_agent/run.rs
@@ -158,7 +158,8 @@
     dialler.follow().await;
 }
 
-/// Returns a fencing token above those of this agent's earlier processes if the system clock is right.
+/// Returns a fencing token above those of this agent's earlier processes if the system clock is
+/// correct.
 ///
 /// Otherwise the worker rejects the token and the executor raises it.
 fn initial_token() -> u64 {
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -189,7 +189,8 @@
     }
 
     fn apply_config(&self, config: SiteConfig, revision: u64, source: &'static str) {
-        // The configuration version never decreases within one process, even if a stale read shows an older one.
+        // The configuration version never decreases within one process, even if a stale read shows
+        // an older one.
         if let Some(newer) = self
             .state
             .config()
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -195,7 +195,7 @@
         open_jobs.await.unwrap_or(0)
     }
 
-    /// Keeps serving until the load balancer routes clients elsewhere and all jobs are replied to.
+    /// Keeps serving until the load balancer routes clients elsewhere and no job is open.
     async fn run(self) {
         let started_at = Instant::now();
         let open = self.open_jobs().await;
--- a/src/site_entry/tests/config_changes.rs
+++ b/src/site_entry/tests/config_changes.rs
@@ -1,5 +1,5 @@
-//! Tests of the configuration guarantee: an acknowledged change is in force at every connected entry in
-//! time, and no entry reverts to an older version.
+//! Tests of the configuration guarantee: an acknowledged change is in force at every connected
+//! entry in time, and no entry reverts to an older version.
 
 use {
     super::site::{SiteEvent, SitePlan, SiteSimulation, StoreFault},
--- a/src/site_entry/tests/site/mod.rs
+++ b/src/site_entry/tests/site/mod.rs
@@ -1,4 +1,5 @@
-//! Simulation of a site on a paused clock: production entries and agents with a model of links and store.
+//! Simulation of a site on a paused clock: production entries and agents with a model of links and
+//! store.
 
 mod agent_model;
 mod entry_model;
