--- a/src/site_entry/tests/config_changes.rs
+++ b/src/site_entry/tests/config_changes.rs
@@ -82,10 +82,10 @@
     the_last_change_is_applied_in_time_after_feeds_failed: [(14_500, store_fault(StoreFault::FeedsFail, 3_000))];
     /// A stale state must be replaced once reads are current again.
     the_last_change_is_applied_in_time_after_stale_reads:
-        [(14_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (15_100, SiteEvent::ForgetHistory)];
+        [(14_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (15_100, SiteEvent::DiscardHistory)];
     a_change_is_applied_in_time_after_stale_reads:
-        [(8_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (9_100, SiteEvent::ForgetHistory)];
-    a_change_is_applied_in_time_after_history_is_discarded: [(9_010, SiteEvent::ForgetHistory)];
+        [(8_500, store_fault(StoreFault::StaleReads(5_500), 4_000)), (9_100, SiteEvent::DiscardHistory)];
+    a_change_is_applied_in_time_after_history_is_discarded: [(9_010, SiteEvent::DiscardHistory)];
     a_change_is_applied_in_time_after_a_slow_store: [(8_500, store_fault(StoreFault::Slow(60), 4_500))];
     a_change_is_applied_in_time_after_an_unresponsive_store: [(8_500, store_fault(StoreFault::Unresponsive, 4_500))];
     a_change_is_applied_in_time_after_the_store_refused_calls: [(8_500, store_fault(StoreFault::RefusesAll, 4_500))];
@@ -116,7 +116,7 @@
 async fn a_large_document_disconnects_no_session() {
     let mut site = SiteSimulation::start(site_plan(growing_documents(LARGE_DOCUMENT_BYTES)));
     site.run().await;
-    assert_eq!(site.sessions_lost(), 0);
+    assert_eq!(site.disconnected_sessions(), 0);
 }
 
 /// A stale read whose history is discarded must not cause a busy loop of reads.
@@ -131,7 +131,7 @@
             },
         ),
         (4_900, store_fault(StoreFault::StaleReads(5_500), 10_000)),
-        (5_020, SiteEvent::ForgetHistory),
+        (5_020, SiteEvent::DiscardHistory),
     ];
     events.extend((0..5).map(|entry| (5_040, SiteEvent::StopEntry { entry, down_ms: 40 })));
     let mut site = SiteSimulation::start(site_plan(events));
@@ -153,7 +153,7 @@
     );
     let for_ms = rng.random_range(300..4_500);
     let fault = match rng.random_range(0..13) {
-        0 => return SiteEvent::ForgetHistory,
+        0 => return SiteEvent::DiscardHistory,
         1 => {
             return SiteEvent::StopEntry {
                 entry,
--- a/src/site_entry/tests/site/site_simulation.rs
+++ b/src/site_entry/tests/site/site_simulation.rs
@@ -57,7 +57,7 @@
         fault: StoreFault,
         for_ms: u64,
     },
-    ForgetHistory,
+    DiscardHistory,
     StopEntry {
         entry: usize,
         down_ms: u64,
@@ -98,7 +98,7 @@
     agent_hosts: Vec<Arc<HostModel>>,
     entries: Vec<Mutex<Option<EntryIncarnation>>>,
     last_session: AtomicU64,
-    sessions_lost: AtomicU64,
+    disconnected_sessions: AtomicU64,
 }
 
 /// A running site.
@@ -137,7 +137,7 @@
             agent_hosts: hosts(vec![AGENT_MBIT_PER_S; plan.agents]),
             entries: (0..entries).map(|_| Mutex::new(None)).collect(),
             last_session: AtomicU64::new(0),
-            sessions_lost: AtomicU64::new(0),
+            disconnected_sessions: AtomicU64::new(0),
         });
         let mut site = Self {
             agents: (0..plan.agents).map(|_| JoinSet::new()).collect(),
@@ -174,8 +174,8 @@
     }
 
     /// Number of disconnected sessions.
-    pub(in crate::site_entry::tests) fn sessions_lost(&self) -> u64 {
-        self.shared.sessions_lost.load(Ordering::Relaxed)
+    pub(in crate::site_entry::tests) fn disconnected_sessions(&self) -> u64 {
+        self.shared.disconnected_sessions.load(Ordering::Relaxed)
     }
 
     /// Number of calls from all hosts to the store.
@@ -203,7 +203,7 @@
                 self.zones.push((Instant::now(), zones));
             }
             SiteEvent::Store { fault, for_ms } => shared.store.fail(fault, for_ms),
-            SiteEvent::ForgetHistory => shared.store.forget_history(),
+            SiteEvent::DiscardHistory => shared.store.discard_history(),
             SiteEvent::StopEntry { entry, down_ms } => {
                 shared.entries[entry].lock().expect("lock").take();
                 shared.entry_hosts[entry].mark_disturbed();
@@ -331,7 +331,7 @@
                     let event = ExecutionEvent::Frame { session, frame };
                     let _: Result<(), _> = inputs.send(AgentInput::Event(event));
                 }
-                self.sessions_lost.fetch_add(1, Ordering::Relaxed);
+                self.disconnected_sessions.fetch_add(1, Ordering::Relaxed);
                 let event = AgentInput::Event(ExecutionEvent::SessionLost { session });
                 let _: Result<(), _> = inputs.send(event);
                 let _: Result<(), _> = session_drained.await;
--- a/src/site_entry/tests/site/store_model.rs
+++ b/src/site_entry/tests/site/store_model.rs
@@ -144,7 +144,7 @@
         self.write(|rows| rows.zones.evacuated.clone_from(zones));
     }
 
-    pub(super) fn forget_history(&self) {
+    pub(super) fn discard_history(&self) {
         let history_after = self.newest().zones.version;
         let mut state = self.state();
         state.history_after = history_after;
