--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -354,7 +354,7 @@
     (two, one)
 }
 
-/// A hold call later than all others.
+/// A hold call with a higher sequence number and token than all others.
 fn latest_poll() -> HoldCall {
     HoldCall {
         worker: "w".to_owned(),
@@ -518,7 +518,7 @@
     assert_eq!(test.executor.run_count(), 1);
 }
 
-/// An earlier run of the task, started by another entry, has finished on this worker and used the
+/// An earlier run of the task, started by another entry, has finished on this worker under the same
 /// number.
 #[test]
 fn a_used_run_number_is_incremented() {
