--- a/src/core/execution/tests.rs
+++ b/src/core/execution/tests.rs
@@ -354,7 +354,7 @@
     (two, one)
 }
 
-/// A hold call with a higher sequence number and token than all others.
+/// A hold call with a higher sequence number than all others.
 fn latest_poll() -> HoldCall {
     HoldCall {
         worker: "w".to_owned(),
