--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -30,9 +30,9 @@
         $(
             #[test]
             fn $name() {
-                let verdict =
+                let decision =
                     admission_at_100_per_s().decide(request($waiting, $tasks, $deadline_ms));
-                assert_eq!(verdict.is_ok(), $admitted, "{verdict:?}");
+                assert_eq!(decision.is_ok(), $admitted, "{decision:?}");
             }
         )+
     };
--- a/src/core/gate/tests/messages.rs
+++ b/src/core/gate/tests/messages.rs
@@ -98,13 +98,13 @@
                 *outcome = Some(ChangeOutcome::NotApplied);
                 return *abandoned;
             }
-            let lands =
+            let applies =
                 *version == self.head() + 1 && self.rows.contains_key(&self.entries[entry].id);
-            if lands {
+            if applies {
                 self.versions.insert(*version, *open);
                 self.closed_at_ms = (!*open).then(|| self.closed_at_ms.unwrap_or(self.now_ms));
             }
-            *outcome = Some(if lands {
+            *outcome = Some(if applies {
                 ChangeOutcome::MaybeApplied
             } else {
                 ChangeOutcome::NotApplied
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -135,7 +135,7 @@
     no_runners_give_an_empty_list: 0 runners => 0;
     few_runners_are_all_listed: 96 runners => 96;
     many_runners_are_truncated: 200 runners => 96;
-    the_list_does_not_grow_at_the_planned_size: 1_500 runners => 96;
+    a_list_of_1_500_runners_is_truncated: 1_500 runners => 96;
 }
 
 #[test]
--- a/src/core/store_budget/tests.rs
+++ b/src/core/store_budget/tests.rs
@@ -62,7 +62,7 @@
 /// Entries must not all call the store at the same time after an outage.
 #[test]
 fn backoff_grows_is_jittered_and_ends_with_a_success() {
-    let ends: BTreeSet<u64> = (0..20)
+    let ends_ms: BTreeSet<u64> = (0..20)
         .map(|seed| {
             let mut budget = StoreBudget::new(RATES, 20, seed);
             for _ in 0..12 {
@@ -73,10 +73,12 @@
                 .expect("every backoff ends")
         })
         .collect();
-    assert!(ends.len() > 10, "{ends:?}");
+    assert!(ends_ms.len() > 10, "{ends_ms:?}");
     assert!(
-        ends.iter().all(|end| (1_000..=2_000).contains(end)),
-        "{ends:?}"
+        ends_ms
+            .iter()
+            .all(|end_ms| (1_000..=2_000).contains(end_ms)),
+        "{ends_ms:?}"
     );
 
     let mut budget = StoreBudget::new(RATES, 2, 1);
