--- a/src/core/admission/admission.rs
+++ b/src/core/admission/admission.rs
@@ -50,7 +50,7 @@
 }
 
 impl Admission {
-    /// Creates an admission control without data, which only limits the queue's length.
+    /// Creates the admission control without data; until it has some, it only limits the queue.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             drain_rate: DrainRate::default(),
--- a/src/core/admission/tests.rs
+++ b/src/core/admission/tests.rs
@@ -6,7 +6,7 @@
     proptest::prelude::{any, prop_assert, proptest},
 };
 
-/// An admission control with 100 recorded starts per second while tasks waited.
+/// Admission control with 100 recorded starts per second while tasks waited.
 fn admission_at_100_per_s() -> Admission {
     let mut admission = Admission::new(3);
     for step in 0..200 {
--- a/src/core/claim/claim.rs
+++ b/src/core/claim/claim.rs
@@ -21,6 +21,6 @@
 pub(crate) enum ClaimError {
     /// More claims wait than the write budget can handle in time.
     QueueFull,
-    /// The store rejected the write, or its result could not be determined.
+    /// Nothing was written, or the result of the write could not be determined.
     StoreUnavailable,
 }
--- a/src/core/claim/claim_queue.rs
+++ b/src/core/claim/claim_queue.rs
@@ -16,7 +16,7 @@
     Committed,
     /// Nothing was written because this row exists.
     Conflict(String),
-    /// Nothing was written, or it is unknown whether anything was.
+    /// The store rejected the write or was unreachable; nothing was written.
     Unavailable,
     /// No reply was received; the rows may have been written or may be written shortly.
     Unknown,
--- a/src/core/demand/demand_queue.rs
+++ b/src/core/demand/demand_queue.rs
@@ -7,7 +7,7 @@
 
 /// Time for which a slot is held for a home, in milliseconds.
 ///
-/// The expiry frees slots of homes that die or disconnect. A start that arrives later is handled
+/// The expiry frees slots held for homes that crash or stall. A start that arrives later is handled
 /// like one without a hold.
 const HOLD_MS: u64 = 100;
 
--- a/src/core/ejection/ejection_reason.rs
+++ b/src/core/ejection/ejection_reason.rs
@@ -7,7 +7,7 @@
     EjectionReason {
         /// Several consecutive tasks failed.
         Failing => "failing",
-        /// Several consecutive tasks took much longer than on other runners.
+        /// Several tasks since the last success took much longer than usual for their service.
         Slow => "slow",
     }
 }
--- a/src/core/ejection/mod.rs
+++ b/src/core/ejection/mod.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: takes runners out of placement by the results of their tasks.
+//! Outlier ejection: excludes runners from placement based on the results of their tasks.
 
 mod ejection_reason;
 mod runner_health;
--- a/src/core/ejection/runner_health.rs
+++ b/src/core/ejection/runner_health.rs
@@ -73,8 +73,10 @@
         None
     }
 
-    /// On probation a single failed or slow task is enough, because `slow_tasks` is reset only by a
-    /// success.
+    /// Why the runner must be ejected, if it must.
+    ///
+    /// On probation a single failure is enough. So is a single slow task after an ejection for
+    /// slowness, because only a success resets `slow_tasks`.
     fn reason(&self) -> Option<EjectionReason> {
         let on_probation = self.state != EjectionState::InService;
         if self.failures >= FAILURE_THRESHOLD || (on_probation && self.failures > 0) {
--- a/src/core/gate/tests/zone_gate.rs
+++ b/src/core/gate/tests/zone_gate.rs
@@ -97,7 +97,7 @@
     gate.record_head_read(at(2_000), 1);
     assert!(
         !gate.may_grant(at(2_000), ZONE, "w01"),
-        "the write may still land"
+        "the write may still take effect"
     );
     gate.record_head_read(at(40_000), 1);
     assert!(
--- a/src/core/home/admission.rs
+++ b/src/core/home/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of jobs, and the run times and runner health that it learns from.
+//! Admission of jobs, and the run times and runner health derived from task outcomes.
 
 use {
     super::{
--- a/src/core/home/demand.rs
+++ b/src/core/home/demand.rs
@@ -9,7 +9,7 @@
 ///
 /// Each further runner shortens the wait for the first offer and costs a withdrawal.
 const MIN_FANOUT: usize = 3;
-/// Time without an offer after which a demand no longer counts and further runners are asked.
+/// Time without an offer after which a demand no longer counts and further runners are sent one.
 ///
 /// A runner in a closed zone never makes an offer.
 const DEMAND_TIMEOUT_MS: u64 = 100;
@@ -20,7 +20,7 @@
 const DEMAND_DELAY_MS: u64 = 15;
 /// Maximum number of jobs, oldest first, that the demand is computed from.
 const MAX_JOBS_COUNTED: usize = 32;
-/// Messages of one withdrawn demand, or of one offer that is returned.
+/// Number of messages counted for one withdrawn demand or one unused offer.
 const MESSAGES_PER_WITHDRAWAL: u16 = 2;
 
 impl Home {
--- a/src/core/home/hand_over.rs
+++ b/src/core/home/hand_over.rs
@@ -19,8 +19,8 @@
 impl Home {
     /// Returns the records for the successor and replies to all waiters with the job's progress.
     ///
-    /// This home must handle no events afterwards, whether or not the records arrive: two processes
-    /// would run the same jobs.
+    /// This home must handle no events afterwards, whether or not the records arrive. Otherwise two
+    /// processes could run the same jobs.
     pub(crate) fn hand_over(&mut self, now: Instant) -> (HomeRecords, Vec<HomeAction>) {
         self.reply_progress_to_waiters();
         let records = HomeRecords {
--- a/src/core/home/home.rs
+++ b/src/core/home/home.rs
@@ -305,7 +305,7 @@
         self.actions.push(HomeAction::Reply { waiter, status });
     }
 
-    /// The process that this home belongs to.
+    /// Identity of this home, as named in its tickets.
     pub(crate) const fn id(&self) -> AgentId {
         self.id
     }
--- a/src/core/home/outcomes.rs
+++ b/src/core/home/outcomes.rs
@@ -62,7 +62,7 @@
         if let Some(reason) = retry {
             let was_queued = !job.queued.is_empty();
             if reason == NotRunReason::SlotsFull.as_str() {
-                // Full slots are no property of the task, so the attempt doesn't count.
+                // Full slots say nothing about the task, so the attempt doesn't count.
                 job.attempts[usize::from(index)] = attempts.saturating_sub(1);
             } else {
                 job.refused_since.get_or_insert(now);
--- a/src/core/home/records.rs
+++ b/src/core/home/records.rs
@@ -14,7 +14,7 @@
 /// The complete state of a home, with ages instead of instants of its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HomeRecords {
-    /// The home that the tickets name; the successor keeps this identity.
+    /// The home that the tickets name; the successor uses this identity.
     pub(crate) home: AgentId,
     /// Verifies the granted tickets.
     pub(crate) secret: GrantSecret,
--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -50,7 +50,7 @@
     pub(crate) epoch: u64,
     /// Start of the current period without an open session.
     pub(crate) disconnected_since: Option<Instant>,
-    /// Tasks there, each with the epoch on which it was started.
+    /// Tasks sent there, each with the epoch of the session on which it was started.
     pub(crate) outstanding: BTreeMap<TaskRef, u64>,
     started_at: BTreeMap<TaskRef, Instant>,
     /// Number of tasks in the last demand sent, less the offers received since.
@@ -125,7 +125,7 @@
         self.free.held.saturating_sub(self.starts_in_flight())
     }
 
-    /// Returns the held slots and clears the demand.
+    /// Releases the held slots and clears the demand.
     pub(crate) fn withdraw_demand(&mut self) {
         self.demanded_tasks = 0;
         self.free.slots -= self.free.held;
--- a/src/core/home/tests/faults.rs
+++ b/src/core/home/tests/faults.rs
@@ -25,8 +25,8 @@
     assert_eq!(sim.starts.values().sum::<u32>(), 1);
 }
 
-/// A submission that is delayed behind its cancellation must not start: the client was told "not
-/// run".
+/// A submission that arrives after its cancellation must not start, because the cancellation was
+/// answered "not run".
 #[test]
 fn a_submission_after_its_cancellation_is_not_started() {
     let mut sim = Simulation::new(1, 2);
--- a/src/core/home/tests/memory.rs
+++ b/src/core/home/tests/memory.rs
@@ -16,7 +16,7 @@
 const LIMIT_MB: i64 = 64;
 
 /// The answers of ended jobs must not grow without bound, and a resubmission whose answer was
-/// evicted must be told that the job may have run.
+/// evicted must be answered that the job may have run.
 #[test]
 fn stored_answers_stay_under_the_limit_and_a_dropped_answer_is_reported() {
     let mut sim = Simulation::new(1, 8);
--- a/src/core/home/tests/sessions.rs
+++ b/src/core/home/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Simulated sessions, on which frames are delayed, cut off or overtaken.
+//! Simulated sessions, on which frames are delayed, dropped or reordered.
 
 use {
     super::simulation::Simulation,
--- a/src/core/home/ticket_registry.rs
+++ b/src/core/home/ticket_registry.rs
@@ -100,8 +100,8 @@
 
     /// Restores the generations of a handed-over home.
     ///
-    /// A generation older than this process's clock is retained longer than its lifetime; its
-    /// records are retained with it.
+    /// The clock starts with this process, so a generation granted earlier may be retained longer
+    /// than its lifetime; its records are retained with it.
     pub(super) fn restore(
         &mut self,
         now: Instant,
--- a/src/core/message/announcement.rs
+++ b/src/core/message/announcement.rs
@@ -38,7 +38,7 @@
 }
 
 impl Announcement {
-    /// One-byte digest of everything but the load; entries compare it to detect stale copies.
+    /// One-byte digest of the fields that change rarely; entries compare it to detect stale copies.
     pub(crate) fn fingerprint(&self) -> u8 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.agent.0.to_le_bytes());
--- a/src/core/message/digest.rs
+++ b/src/core/message/digest.rs
@@ -9,7 +9,7 @@
 /// The scope in which a configuration change stops tasks from starting.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum Closing {
-    /// A complete availability zone.
+    /// An availability zone with all its workers.
     Zone(String),
     /// One worker.
     Worker(String),
--- a/src/core/placement/runner_view.rs
+++ b/src/core/placement/runner_view.rs
@@ -9,7 +9,7 @@
     pub(crate) own: bool,
     /// Free slots by the runner's last report, minus the tasks sent there since.
     pub(crate) free_slots: u16,
-    /// Tasks of this home that the runner has.
+    /// Tasks that this home has sent there and that have not ended.
     pub(crate) outstanding: u16,
     /// When the runner's last report arrived.
     pub(crate) last_report_at: Instant,
--- a/src/core/runner/home_link.rs
+++ b/src/core/runner/home_link.rs
@@ -1,4 +1,4 @@
-//! State that a runner keeps for one home.
+//! A runner's state for one home.
 
 use {
     super::SessionId,
--- a/src/core/store_budget/token_bucket.rs
+++ b/src/core/store_budget/token_bucket.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     per_s: u64,
-    /// In millionths of a token: one call per second earns one per microsecond.
+    /// In millionths of a token; at one call per second, one accrues per microsecond.
     micro_tokens: u64,
     refilled_at: Instant,
 }
--- a/src/core/ticket/ticket.rs
+++ b/src/core/ticket/ticket.rs
@@ -15,7 +15,7 @@
 pub(crate) struct TicketId {
     /// The only process that may start the job.
     pub(crate) home: AgentId,
-    /// Number of the home's announcement that granted the ticket.
+    /// Number of the home's grant that contains the ticket.
     pub(crate) generation: u32,
     /// The ticket's number within the grant.
     pub(crate) counter: u32,
--- a/src/core/ticket/ticket_grant.rs
+++ b/src/core/ticket/ticket_grant.rs
@@ -11,7 +11,7 @@
 pub(crate) struct TicketGrant {
     /// The home that granted the block.
     pub(crate) home: AgentId,
-    /// Number of the announcement that carried the grant; each announcement goes to one entry only.
+    /// The grant's number at its home; each grant is sent to one entry only.
     pub(crate) generation: u32,
     /// Key that authenticates the block's tickets.
     pub(crate) key: [u8; 32],
--- a/src/core/verdict/may_have_run_reason.rs
+++ b/src/core/verdict/may_have_run_reason.rs
@@ -15,7 +15,7 @@
         DeadlinePassed => "deadline_passed",
         /// The connection to the backend server was lost after the request was sent.
         BackendLost => "backend_lost",
-        /// The runner's process has ended.
+        /// The runner restarted, was disconnected for too long or dropped the task's record.
         RunnerLost => "runner_lost",
         /// The home's process has ended and its records are lost.
         HomeLost => "home_lost",
