--- a/src/core/directory/tests.rs
+++ b/src/core/directory/tests.rs
@@ -133,7 +133,7 @@
 
 /// When a rack fails, calls to its agents fail before the liveness timeout has passed.
 #[test]
-fn an_agent_gets_no_new_work_after_a_failed_call_until_it_is_heard_again() {
+fn an_agent_gets_no_new_work_after_a_failed_call_until_the_next_contact() {
     let mut directory = Directory::default();
     directory.record_announcement(Instant::from_millis(0), announcement(1, "w01"));
     directory.record_call_failure(Instant::from_millis(100), AgentId(1));
--- a/src/core/tests/simulation.rs
+++ b/src/core/tests/simulation.rs
@@ -320,14 +320,14 @@
         for client in 0..self.clients.len() {
             if !self.clients[client].finished {
                 self.report
-                    .report_violation(format!("client {client} never finished"));
+                    .record_violation(format!("client {client} never finished"));
             }
         }
         for worker in 0..WORKERS {
             let remaining = self.run_count_at(worker);
             if remaining > 0 {
                 self.report
-                    .report_violation(format!("{remaining} runs remain at worker {worker}"));
+                    .record_violation(format!("{remaining} runs remain at worker {worker}"));
             }
         }
         let open: usize = self
@@ -344,7 +344,7 @@
             .sum();
         if open + runs > 0 {
             let what = format!("{open} jobs at entries and {runs} runs at agents remain");
-            self.report.report_violation(what);
+            self.report.record_violation(what);
         }
     }
 
@@ -865,7 +865,7 @@
                 "{} starts after all its calls were answered with not_run",
                 task.job
             );
-            self.report.report_violation(what);
+            self.report.record_violation(what);
         }
         for other in 0..WORKERS {
             self.advance_worker(other);
@@ -874,7 +874,7 @@
                 && self.workers[other].active_runs().contains_key(&task)
             {
                 let what = format!("{task} runs twice, at workers {worker} and {other}");
-                self.report.report_violation(what);
+                self.report.record_violation(what);
             }
         }
     }
@@ -1001,7 +1001,7 @@
                 let (job, only_not_run) = (model.job, model.received_only_not_run());
                 if only_not_run && self.report.started_jobs.contains(&job) {
                     self.report
-                        .report_violation(format!("{job} was reported as not run but has started"));
+                        .record_violation(format!("{job} was reported as not run but has started"));
                 }
                 self.schedule_in_ms(retry_after_ms, Event::Submit { client });
             }
@@ -1019,7 +1019,7 @@
             .count();
         if done < usize::from(tasks) {
             let what = format!("{job} is reported as completed with {done} of {tasks} tasks done");
-            self.report.report_violation(what);
+            self.report.record_violation(what);
         }
     }
 
@@ -1028,11 +1028,11 @@
         let Some(call) = self.clients[client].pending_call.take() else {
             return;
         };
-        self.notify_client_gone(call);
+        self.notify_client_disconnected(call);
         self.schedule_in_ms(RETRY_DELAY_MS, Event::Submit { client });
     }
 
-    fn notify_client_gone(&mut self, call: (usize, u64, u64)) {
+    fn notify_client_disconnected(&mut self, call: (usize, u64, u64)) {
         self.waiters.remove(&call);
         let (entry, incarnation, waiter) = call;
         if self.entries[entry].is_incarnation(incarnation) {
@@ -1068,7 +1068,7 @@
         }
         model.finished = true;
         if let Some(call) = model.pending_call.take() {
-            self.notify_client_gone(call);
+            self.notify_client_disconnected(call);
         }
     }
 
--- a/src/core/tests/simulation_report.rs
+++ b/src/core/tests/simulation_report.rs
@@ -21,7 +21,7 @@
 }
 
 impl SimulationReport {
-    pub(super) fn report_violation(&mut self, what: String) {
+    pub(super) fn record_violation(&mut self, what: String) {
         self.trace.push(format!("VIOLATION {what}"));
         self.violations.push(what);
     }
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -171,7 +171,7 @@
                     tokio::spawn(Arc::clone(self).read(id, row));
                 }
                 ClaimAction::Bound(id, ticket) => self.reply(id, Ok(ticket)),
-                ClaimAction::Failed(id, fault) => self.reply(id, Err(fault)),
+                ClaimAction::Failed(id, error) => self.reply(id, Err(error)),
             }
         }
     }
@@ -241,8 +241,8 @@
 }
 
 /// The key was read as unbound and the new ticket stays unused, so nothing ran under the key.
-const fn not_bound_verdict(fault: ClaimError) -> Verdict {
-    match fault {
+const fn not_bound_verdict(error: ClaimError) -> Verdict {
+    match error {
         ClaimError::QueueFull => Verdict::NotRun {
             reason: NotRunReason::ClaimBudget,
             retry_after_ms: BUDGET_RETRY_AFTER_MS,
--- a/src/entry/tests/jobs.rs
+++ b/src/entry/tests/jobs.rs
@@ -217,7 +217,7 @@
         _ => 0,
     };
     assert!(deadline_ms(&calls[1]) < deadline_ms(&calls[0]));
-    assert!(matches!(&calls[2], PeerRequest::Poll { ticket: asked, .. } if *asked == ticket));
+    assert!(matches!(&calls[2], PeerRequest::Poll { ticket: polled, .. } if *polled == ticket));
 }
 
 /// If a home hangs while its connection still answers pings, the client must get "may have run"
--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -197,7 +197,7 @@
 fn parse_task_name(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     let job = JobId::parse(parts.next()?)?;
-    let _occurrence = parts.next()?;
+    let _recurrence = parts.next()?;
     Some(TaskId {
         job,
         step: parts.next()?.parse().ok()?,
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -225,7 +225,7 @@
             zones: EvacuatedZones {
                 version,
                 evacuated: zones
-                    .filter(|(_, out)| *out)
+                    .filter(|(_, is_evacuated)| *is_evacuated)
                     .map(|(zone, _)| zone)
                     .collect(),
             },
