--- a/src/agent/hand_over.rs
+++ b/src/agent/hand_over.rs
@@ -23,7 +23,7 @@
 const OFFER_TIMEOUT_MS: u64 = 5_000;
 
 impl AgentHandle {
-    /// Adopts the home of a stopping agent; returns `false` if this process is stopping, too.
+    /// Adopts the home of a stopping agent; returns `false` if this process is also stopping.
     pub(crate) fn adopt(self: &Arc<Self>, records: HomeRecords) -> bool {
         let home = records.home;
         let adoption = self.homes.adopt(home, || {
@@ -51,7 +51,7 @@
         for home in self.homes.local_homes() {
             self.hand_over(home, &successors, deadline).await;
         }
-        // Tells entries without delay that this process owns no homes.
+        // Announces at once that this process no longer owns any home.
         self.announce_now.notify_one();
     }
 
--- a/src/agent/home_loop.rs
+++ b/src/agent/home_loop.rs
@@ -14,7 +14,7 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Resolution of the home's deadlines.
+/// Resolution of the home's deadlines, in milliseconds.
 const TICK_MS: u64 = 5;
 
 /// Builds an event for the waiter that receives the reply.
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -77,7 +77,7 @@
 }
 
 /// After an offer that may have arrived, the home must not be offered to another successor or
-/// resumed locally: two processes would own it, and a share could be paid twice.
+/// resumed locally: two processes would own it and could run its tasks twice.
 macro_rules! hand_over_cases {
     ($($name:ident: [$($reply:expr),+] => $expected:ident;)+) => {
         $(
--- a/src/core/directory/directory.rs
+++ b/src/core/directory/directory.rs
@@ -33,7 +33,8 @@
 }
 
 impl AgentView {
-    /// Whether the agent was heard within the liveness timeout and after the last failed call.
+    /// Whether the last announcement or heartbeat is within the liveness timeout and newer than the
+    /// last failed call.
     fn is_alive(&self, now: Instant) -> bool {
         now.millis_since(self.last_heard_at) < LIVENESS_TIMEOUT_MS
             && self
@@ -202,7 +203,8 @@
         HomeLocation::Unknown
     }
 
-    /// The agents that announced themselves within the liveness timeout.
+    /// The agents that announced themselves within the liveness timeout and after the last failed
+    /// call to them.
     pub(crate) fn alive(&self, now: Instant) -> impl Iterator<Item = &AgentView> {
         self.agents.values().filter(move |view| view.is_alive(now))
     }
--- a/src/core/directory/tests.rs
+++ b/src/core/directory/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Otherwise clients would be sent to the dead agent as the home of their tickets.
+/// Clients must not be sent to a dead agent as the home of their tickets.
 #[test]
 fn a_late_announcement_does_not_revive_a_replaced_agent() {
     let mut directory = Directory::default();
@@ -41,7 +41,7 @@
     );
 }
 
-/// The agent's host has failed, and work sent there would never run.
+/// Work sent to an agent whose host has failed would never run.
 #[test]
 fn an_unresponsive_agent_gets_no_new_work() {
     let mut directory = Directory::default();
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -94,7 +94,7 @@
     assert_ne!(later.last(), Some(&firsts[0]));
 }
 
-/// Otherwise all agents would announce themselves to other entries at once.
+/// Removing one entry must not make all agents announce themselves to other entries at once.
 #[test]
 fn removing_an_entry_moves_only_its_own_agents() {
     let all: Vec<SocketAddr> = (1..=8).map(addr).collect();
--- a/src/core/tests/client_model.rs
+++ b/src/core/tests/client_model.rs
@@ -22,6 +22,6 @@
     pub(super) call_count: u32,
     pub(super) not_run_count: u32,
     pub(super) got_reply: bool,
-    /// It has a final outcome or has timed out.
+    /// Whether the client has a final outcome or has timed out.
     pub(super) finished: bool,
 }
--- a/src/entry/config_change.rs
+++ b/src/entry/config_change.rs
@@ -27,9 +27,9 @@
 const LOCK_TIMEOUT_MS: u64 = 5_000;
 /// Attempts to resolve a write whose reply was lost.
 const MAX_RESOLVE_ATTEMPTS: usize = 10;
-/// Time after which the outcome of the write is reported as unknown, in milliseconds.
+/// Time after which the outcome of such a write is reported as unknown, in milliseconds.
 const RESOLVE_TIMEOUT_MS: u64 = 4_000;
-/// Pause between these attempts, in milliseconds.
+/// Pause between attempts to resolve a write, in milliseconds.
 const RESOLVE_INTERVAL_MS: u64 = 100;
 
 /// Result of an accepted change.
@@ -304,7 +304,7 @@
     }
 }
 
-/// Entries that don't know this one yet wouldn't wait for its changes before they grant permits.
+/// An entry that doesn't know this one yet would grant permits without waiting for its changes.
 fn not_known_to_all() -> ApplyError {
     let detail = "not every entry on the roster knows this one yet; use another entry".to_owned();
     ApplyError::Unavailable(StoreError::Unavailable(detail))
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -249,7 +249,8 @@
         Some((change, check))
     }
 
-    /// Returns the notices for agents that announce here after a change from `before`.
+    /// Returns the notices, after a change from `before`, for agents that announce themselves to this
+    /// entry.
     pub(crate) fn gate_notices(&self, before: Option<&InForce>) -> Vec<(SocketAddr, GateNotice)> {
         let now = self.timer.now();
         let inner = self.lock();
@@ -276,7 +277,7 @@
     }
 }
 
-/// Returns where tasks may start now but not after the change.
+/// Returns the zones and workers where tasks may start now but not after the change.
 fn closing(in_force: Option<&InForce>, document: &Document) -> BTreeSet<Closing> {
     let Some(in_force) = in_force else {
         return BTreeSet::new();
--- a/src/entry/roster_sync.rs
+++ b/src/entry/roster_sync.rs
@@ -18,7 +18,7 @@
 const SCAN_INTERVAL_MS: u64 = 2_000;
 /// Longest interval between writes of the heartbeat row, in milliseconds.
 const MAX_HEARTBEAT_INTERVAL_MS: u64 = 5_000;
-/// Heartbeats due within the time after which others may remove this entry's rows.
+/// Minimum number of heartbeats within the time after which others may remove this entry's rows.
 const MIN_HEARTBEATS_PER_OUTAGE_LIMIT: u64 = 5;
 /// Version of an entry's row, which is written only once.
 const INITIAL_ROW_VERSION: u64 = 1;
@@ -47,7 +47,7 @@
             let result = self.sync().await;
             if result.is_ok() != reachable {
                 reachable = result.is_ok();
-                log::warn!(reachable, error:? = result.err(); "the platform became reachable or unreachable");
+                log::warn!(reachable, error:? = result.err(); "reachability of the platform changed");
             }
         }
     }
@@ -97,7 +97,7 @@
                 self.is_registered = true;
                 Ok(())
             }
-            // An earlier write took effect but its reply was lost; a heartbeat checks the row.
+            // An earlier write took effect but its reply was lost; the next heartbeat checks the row.
             Ok(TransactionOutcome::Conflict { .. }) => {
                 self.is_registered = true;
                 Ok(())
--- a/src/platform/client_protocol.rs
+++ b/src/platform/client_protocol.rs
@@ -12,7 +12,7 @@
     http::{Method, StatusCode},
 };
 
-/// How long the client waits for the response, in milliseconds.
+/// Header with the time that the client waits for the response, in milliseconds.
 const DEADLINE_HEADER: &str = "rattanslip-deadline-ms";
 
 /// The operation that a client requests.
--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -20,7 +20,7 @@
     std::net::SocketAddr,
 };
 
-/// Names the worker incarnation that a call is intended for.
+/// Header with the id of the worker incarnation that a call is intended for.
 const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("rattanslip-expected-instance");
 /// Timeout of a start or stop call, in milliseconds.
 ///
--- a/src/ports/feed_cursor.rs
+++ b/src/ports/feed_cursor.rs
@@ -28,7 +28,7 @@
         self.after
     }
 
-    /// Records a response that covers all changes up to a version.
+    /// Records a response that reports a version and contains no changes.
     pub(crate) fn advance(&mut self, version: u64) {
         self.recent_versions.push_back(version);
         if self.recent_versions.len() > self.lag
--- a/src/ports/metrics.rs
+++ b/src/ports/metrics.rs
@@ -23,7 +23,7 @@
         StoreCalls => "rattanslip.store_calls",
         /// Digests sent to other entries, by outcome.
         Digests => "rattanslip.digests",
-        /// Notifications to agents that their zone was evacuated or opened, by outcome.
+        /// Notices to agents that their zone or worker was opened or closed, by outcome.
         GateNotices => "rattanslip.gate_notices",
         /// Changes of the configuration, by outcome.
         ConfigChanges => "rattanslip.config_changes",
--- a/src/ports/worker_client.rs
+++ b/src/ports/worker_client.rs
@@ -6,7 +6,7 @@
     std::fmt::Debug,
 };
 
-/// Calls to the worker. The result of a call also covers a missing response.
+/// Calls to the worker. A missing response is part of a call's result, not an error.
 #[async_trait]
 pub(crate) trait WorkerClient: Debug + Send + Sync {
     async fn start(&self, call: &StartCall) -> StartResponse;
