--- a/src/entry/roster_sync.rs
+++ b/src/entry/roster_sync.rs
@@ -47,7 +47,7 @@
             let result = self.sync().await;
             if result.is_ok() != reachable {
                 reachable = result.is_ok();
-                log::warn!(reachable, error:? = result.err(); "reachability of the platform changed");
+                log::warn!(reachable, error:? = result.err(); "the platform's reachability changed");
             }
         }
     }
