--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -20,7 +20,7 @@
     std::net::SocketAddr,
 };
 
-/// Names the worker incarnation that a call is intended for.
+/// Header with the id of the worker incarnation that a call is intended for.
 const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("rattanslip-expected-instance");
 /// Timeout of a start or stop call, in milliseconds.
 ///
@@ -197,7 +197,7 @@
 fn parse_task_name(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     let job = JobId::parse(parts.next()?)?;
-    let _occurrence = parts.next()?;
+    let _recurrence = parts.next()?;
     Some(TaskId {
         job,
         step: parts.next()?.parse().ok()?,
