--- a/src/core/admission/admission.rs
+++ b/src/core/admission/admission.rs
@@ -7,9 +7,8 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Fraction of a job's time before its deadline that the expected wait may take.
-///
-/// The rest is a margin for waits and run times that are longer than estimated.
+/// Fraction of a job's time before its deadline that the expected wait may take; the rest is a
+/// margin for errors of the estimates.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Maximum number of tasks that wait at one home.
 const MAX_WAITING_TASKS: usize = 50_000;
--- a/src/core/demand/demand_queue.rs
+++ b/src/core/demand/demand_queue.rs
@@ -5,10 +5,8 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Time for which a slot is held for a home, in milliseconds.
-///
-/// The expiry frees slots held for homes that crash or stall. A start that arrives later is handled
-/// like one without a hold.
+/// Time for which a slot is held for a home, in milliseconds; a home that crashed or stalled does
+/// not use it.
 const HOLD_MS: u64 = 100;
 
 #[derive(Debug, Clone, Copy)]
--- a/src/core/dispatch/admission.rs
+++ b/src/core/dispatch/admission.rs
@@ -16,14 +16,10 @@
 /// Retry-After sent by a leaving entry, in milliseconds; by then the client's connections lead to
 /// other entries.
 const LEAVING_RETRY_AFTER_MS: u64 = 1_000;
-/// Retry-After sent under overload, in milliseconds. Most tasks finish within a second, so the
-/// queue has changed by then.
+/// Retry-After sent under overload, in milliseconds.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 1_000;
-/// How long a leaving entry still accepts jobs, in milliseconds.
-///
-/// The load balancer needs two failed probes, one second apart, to remove the entry, and closes
-/// open connections one second later. Jobs accepted last have half of the usual 6 s grace period
-/// left.
+/// How long a leaving entry still accepts jobs, in milliseconds: as long as the load balancer takes
+/// to remove it, and shorter than the usual stop grace period.
 const LEAVING_ACCEPT_MS: u64 = 3_000;
 
 impl Dispatcher {
--- a/src/core/dispatch/arrival_rate.rs
+++ b/src/core/dispatch/arrival_rate.rs
@@ -2,8 +2,7 @@
 
 use {crate::core::time::Instant, std::collections::BTreeMap};
 
-/// Time constant of the exponential decay, in milliseconds. It spans some hundred tasks even at one
-/// entry of a small site, and still follows bursts of a few seconds.
+/// Time constant of the exponential decay, in milliseconds.
 const DECAY_TIME_MS: u64 = 1_000;
 
 /// Exponentially decaying sum of the submitted work, by priority.
--- a/src/core/dispatch/client_deadlines.rs
+++ b/src/core/dispatch/client_deadlines.rs
@@ -4,12 +4,11 @@
 
 /// Weight of a job with more than the usual time left, in the moving average.
 const INCREASE_WEIGHT: f64 = 0.3;
-/// Weight of a job with less than the usual time left. It is low because jobs submitted again have
-/// less time left and arrive in large numbers after an outage.
+/// Weight of a job with less than the usual time left; low because jobs that are submitted again
+/// have less time left.
 const DECREASE_WEIGHT: f64 = 0.02;
-/// A job with less than this share of the usual time left counts as submitted again.
-///
-/// The usual time left is used because the route's timeout may be longer than its clients wait.
+/// A job with less than this share of the usual time left counts as submitted again; clients may
+/// wait for less than the route's timeout.
 const MIN_TIME_LEFT_SHARE: f64 = 0.7;
 
 /// Moving average of the time left at submission, by route.
--- a/src/core/dispatch/connectivity.rs
+++ b/src/core/dispatch/connectivity.rs
@@ -8,8 +8,7 @@
     crate::core::time::Instant,
 };
 
-/// Time after a suspension in which nothing starts, in milliseconds: pending input, above all
-/// disconnected clients, is read first.
+/// Time after a suspension in which nothing starts, in milliseconds; pending input is read first.
 const RESUME_DELAY_MS: u64 = 100;
 
 /// When this entry last handled events and last received a frame.
--- a/src/core/dispatch/documents.rs
+++ b/src/core/dispatch/documents.rs
@@ -9,12 +9,11 @@
     },
 };
 
-/// Number of agents that hold the document for entries without access to the store; with three, the
-/// loss of any two is tolerated.
+/// Number of agents that hold the document for entries without access to the store; all but one may
+/// fail.
 const DOCUMENT_HOLDERS: usize = 3;
-/// How long an agent must hold a newer document before the entry fetches it, in milliseconds; an
-/// entry with access to the store reads it there in the meantime. An entry without a document does
-/// not wait.
+/// How long an entry with a document waits before it fetches a newer one from an agent, in
+/// milliseconds; it usually reads it from the store by then.
 const FETCH_DELAY_MS: u64 = 400;
 
 impl Dispatcher {
--- a/src/core/dispatch/overdue.rs
+++ b/src/core/dispatch/overdue.rs
@@ -5,13 +5,9 @@
     crate::core::{link::EntryFrame, time::Instant},
 };
 
-/// A run is overdue after this many times its estimate.
-///
-/// Run times vary around the estimate by about a factor of two; a run that takes four times as long
-/// is almost always on a stalled or very slow worker.
+/// A run is overdue after this many times its estimate, but not before [`MIN_OVERDUE_MS`].
 const OVERDUE_FACTOR: u64 = 4;
-/// Shortest time after which a run is overdue, in milliseconds: a restart costs a stop, two
-/// messages and another start.
+/// Shortest time after which a run is overdue, in milliseconds.
 const MIN_OVERDUE_MS: u64 = 250;
 
 impl Dispatcher {
--- a/src/core/dispatch/overload.rs
+++ b/src/core/dispatch/overload.rs
@@ -13,12 +13,11 @@
     std::mem,
 };
 
-/// Minimum and maximum Retry-After, in milliseconds. The queue has changed after a second, and load
-/// can't be predicted beyond half a minute.
+/// Minimum and maximum Retry-After, in milliseconds.
 const RETRY_AFTER_BOUNDS_MS: (u64, u64) = (1_000, 30_000);
 
-/// Share of the more urgent arrivals that is expected to start before a waiting job. The rest is
-/// refused or arrives after the job has begun.
+/// Share of the more urgent arrivals that is expected to start before a waiting job; the others are
+/// refused or arrive later.
 const URGENT_ARRIVAL_SHARE: f64 = 0.5;
 
 impl Dispatcher {
--- a/src/core/dispatch/placement.rs
+++ b/src/core/dispatch/placement.rs
@@ -17,16 +17,11 @@
 };
 
 /// Number of waiting tasks without a fitting worker after which placement stops until the next
-/// event.
-///
-/// Tasks of a service are similar, so the following ones rarely fit either, and scanning the whole
-/// queue at each event would cost too much CPU time.
+/// event, to limit CPU time.
 const MAX_MISSES: usize = 24;
-/// Weight factor of a worker in the rack that holds the task's data; elsewhere a task takes 1.5 to
-/// 2 times as long.
+/// Weight factor of a worker in the rack that holds the task's data; tasks run faster there.
 const DATA_RACK_FACTOR: f64 = 1e6;
-/// Weight factor of a worker on which the task is likely to fail; it is chosen only if there is no
-/// other.
+/// Weight factor of a worker on which the task is likely to fail.
 const AVOID_FACTOR: f64 = 1e-6;
 /// Minimum weight, for workers without free CPU and tasks that need none.
 const MIN_WEIGHT: f64 = 1e-4;
--- a/src/core/dispatch/worker_link.rs
+++ b/src/core/dispatch/worker_link.rs
@@ -20,7 +20,7 @@
     pub(crate) struct WorkerKey;
 }
 
-/// Weight of the latest run in the moving average of the slowness; about ten runs dominate it.
+/// Weight of the latest run in the moving average of the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.1;
 /// Bounds of one run's ratio, so that an outlier can't distort the average.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.25, 4.0);
--- a/src/core/ejection/runner_health.rs
+++ b/src/core/ejection/runner_health.rs
@@ -5,8 +5,6 @@
 /// Consecutive failures after which a runner is ejected.
 const FAILURE_THRESHOLD: u8 = 3;
 /// Slow tasks since the last success after which a runner is ejected.
-///
-/// About one task in a hundred is slow on a healthy runner, so false ejections are rare.
 const SLOW_TASK_THRESHOLD: u8 = 3;
 /// Consecutive successes after which a runner on probation returns to service.
 const PROBATION_SUCCESSES: u8 = 3;
--- a/src/core/execution/capacity.rs
+++ b/src/core/execution/capacity.rs
@@ -10,19 +10,13 @@
 };
 
 /// Minimum time between capacity reports that no entry is waiting for, in milliseconds.
-///
-/// Tasks run for 50 ms or more, so a figure this old is off by less than one task in two. A shorter
-/// interval costs one message per start and entry.
 const REPORT_INTERVAL_MS: u64 = 20;
-/// Time for which free capacity is reserved for one entry, in milliseconds.
-///
-/// Longer than a round trip of 2 to 6 ms; an unused reservation leaves a slot idle for at most a
-/// fifth of a short task.
+/// Time for which free capacity is reserved for one entry, in milliseconds; longer than a round
+/// trip.
 const RESERVATION_MS: u64 = 10;
 
-/// Time after which a capacity request that was not renewed expires, in milliseconds.
-///
-/// By then its task runs elsewhere or was cancelled, and the entry may have smaller tasks that fit.
+/// Time after which a capacity request that was not renewed expires, in milliseconds; its task may
+/// run elsewhere by then.
 const REQUEST_EXPIRY_MS: u64 = 500;
 
 /// Capacity that an entry requested and did not get.
--- a/src/core/execution/documents.rs
+++ b/src/core/execution/documents.rs
@@ -10,10 +10,7 @@
 };
 
 /// Time for which an entry must name this agent as a holder before it fetches the document, in
-/// milliseconds.
-///
-/// While a site starts, an entry briefly names the first agents that connect; the delay keeps them
-/// from all fetching a copy.
+/// milliseconds; while a site starts, the holders change.
 const HOLDER_FETCH_DELAY_MS: u64 = 500;
 
 impl Executor {
--- a/src/core/execution/run_calls.rs
+++ b/src/core/execution/run_calls.rs
@@ -13,12 +13,11 @@
     },
 };
 
-/// Maximum number of start calls for one run.
-///
-/// Each used run number and each change of the token costs one call.
+/// Maximum number of start calls for one run; each used run number and each change of the token
+/// costs one.
 const MAX_START_CALLS: u32 = 6;
-/// Time before an unconfirmed stop call is repeated, in milliseconds: twice what a worker takes to
-/// stop a run.
+/// Time before an unconfirmed stop call is repeated, in milliseconds; longer than a stop usually
+/// takes.
 const STOP_RETRY_INTERVAL_MS: u64 = 100;
 
 impl Executor {
--- a/src/core/execution/sessions.rs
+++ b/src/core/execution/sessions.rs
@@ -13,9 +13,8 @@
     },
 };
 
-/// Time before newer zones are sent to an entry that uses older ones, in milliseconds.
-///
-/// Entries that reach the store read the same version within a few milliseconds of each other.
+/// Time before newer zones are sent to an entry that uses older ones, in milliseconds; entries with
+/// access to the store have usually read them by then.
 const ZONES_RELAY_DELAY_MS: u64 = 400;
 
 /// State of one entry's session.
--- a/src/core/home/admission.rs
+++ b/src/core/home/admission.rs
@@ -21,7 +21,8 @@
 
 /// Quantile of past run times used as the baseline; a run 50 % above it counts as slow.
 const BASELINE_QUANTILE: f64 = 0.9;
-/// Minimum excess over the baseline that counts as slow; smaller ones are host jitter.
+/// Minimum excess over the baseline that counts as slow, in milliseconds; smaller ones are host
+/// jitter.
 const MIN_SLOWDOWN_MS: u64 = 50;
 /// At most one in this many runners may be ejected at a time.
 const MIN_RUNNERS_PER_EJECTION: usize = 3;
--- a/src/core/home/demand.rs
+++ b/src/core/home/demand.rs
@@ -6,17 +6,12 @@
 };
 
 /// Minimum number of runners that are sent a demand.
-///
-/// Each further runner shortens the wait for the first offer and costs a withdrawal.
 const MIN_FANOUT: usize = 3;
-/// Time without an offer after which a demand no longer counts and further runners are sent one.
-///
-/// A runner in a closed zone never makes an offer.
+/// Time without an offer after which a demand no longer counts and further runners are sent one, in
+/// milliseconds; a runner in a closed zone never makes an offer.
 const DEMAND_TIMEOUT_MS: u64 = 100;
-/// Minimum wait of the oldest task before demands are sent, in milliseconds.
-///
-/// If the home's runners are busy with its own tasks, an outcome mostly reports a free slot within
-/// this time and no demand is needed.
+/// Minimum wait of the oldest task before demands are sent, in milliseconds; an outcome often
+/// reports a free slot by then.
 const DEMAND_DELAY_MS: u64 = 15;
 /// Maximum number of jobs, oldest first, that the demand is computed from.
 const MAX_JOBS_COUNTED: usize = 32;
--- a/src/core/home/hand_over.rs
+++ b/src/core/home/hand_over.rs
@@ -13,7 +13,7 @@
     std::{collections::BTreeSet, sync::Arc},
 };
 
-/// Limit for the answers handed over, so that the records fit into one message.
+/// Maximum size of the answers handed over, in bytes, so that the records fit into one message.
 const MAX_MOVED_ANSWERS_BYTES: usize = 16 << 20;
 
 impl Home {
--- a/src/core/home/outcomes.rs
+++ b/src/core/home/outcomes.rs
@@ -18,10 +18,8 @@
 
 /// Maximum number of attempts per task, not counting those refused for full slots.
 const MAX_ATTEMPTS: u8 = 8;
-/// Minimum time after a job's first refusal before it may fail, in milliseconds.
-///
-/// This is the length of a permit: every runner that may start tasks has renewed its permit by
-/// then.
+/// Minimum time after a job's first refusal before it may fail, in milliseconds; as long as a
+/// permit, so that every runner that may start tasks has renewed its own.
 const REFUSAL_TIMEOUT_MS: u64 = 3_000;
 /// Retry delay sent with a job that no runner accepted, in milliseconds.
 const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
--- a/src/core/home/runner_link.rs
+++ b/src/core/home/runner_link.rs
@@ -12,15 +12,17 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Delay before a session that failed to open is retried.
+/// Delay before a session that failed to open is retried, in milliseconds.
 const RECONNECT_INTERVAL_MS: u64 = 100;
-/// Time without new starts after a refusal for another reason than full slots.
+/// Time without new starts after a refusal for another reason than full slots, in milliseconds.
 const REFUSAL_RETRY_INTERVAL_MS: u64 = 250;
 
-/// Time after the last job that could use a runner during which its session is reopened.
+/// Time after the last job that could use a runner during which its session is reopened, in
+/// milliseconds.
 const SESSION_RETENTION_MS: u64 = 30_000;
 
-/// Age from which a report is stale: another home has probably used the slots since.
+/// Age from which a report is stale, in milliseconds: another home has probably used the slots
+/// since.
 const STALE_REPORT_MS: u64 = 50;
 
 /// State of the session to a runner.
--- a/src/core/placement/home_share.rs
+++ b/src/core/placement/home_share.rs
@@ -2,10 +2,7 @@
 
 use {crate::core::ticket::AgentId, std::ops::Range};
 
-/// Runners per active home.
-///
-/// With fewer homes each one has more accurate data about its runners; with more homes each one
-/// handles fewer starts, and its failure affects fewer jobs.
+/// Number of runners per active home.
 const RUNNERS_PER_HOME: usize = 6;
 /// Minimum number of active homes, so that one may fail or leave.
 const MIN_HOMES: usize = 2;
--- a/src/core/roster/entry_choice.rs
+++ b/src/core/roster/entry_choice.rs
@@ -5,10 +5,8 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Number of entries that an agent announces itself to in rotation.
-///
-/// Each announcement grants tickets to the receiving entry for five seconds. With one fixed entry
-/// for each agent, some entries would have no tickets when there are few agents.
+/// Number of entries that an agent announces itself to in rotation, so that each entry gets tickets
+/// even when there are few agents.
 const ROTATION_SIZE: usize = 3;
 /// How long an entry is tried last after a failure, in milliseconds.
 const SUSPECT_TIMEOUT_MS: u64 = 3_000;
--- a/src/core/roster/roster.rs
+++ b/src/core/roster/roster.rs
@@ -6,10 +6,8 @@
     std::collections::BTreeMap,
 };
 
-/// Time between two scans after which heartbeat timeouts restart, in milliseconds.
-///
-/// During an outage of the platform no entry can write heartbeats; without the restart all entries
-/// would expire after it.
+/// Time between two scans after which heartbeat timeouts restart, in milliseconds; no entry can
+/// write heartbeats during an outage of the platform.
 const SCAN_GAP_MS: u64 = 10_000;
 /// The timeout is extended by this fraction of the limit, to allow for clock drift.
 const CLOCK_MARGIN_DIVISOR: u64 = 20;
--- a/src/core/ticket/ticket_office.rs
+++ b/src/core/ticket/ticket_office.rs
@@ -6,7 +6,8 @@
     std::collections::BTreeMap,
 };
 
-/// Older grants are not used, so that a ticket reaches its client well before it expires.
+/// Age from which a grant is not used, in milliseconds, so that a ticket reaches its client well
+/// before it expires.
 const GRANT_MAX_AGE_MS: u64 = 5_000;
 
 #[derive(Debug)]
--- a/src/core/work/run_limits.rs
+++ b/src/core/work/run_limits.rs
@@ -20,8 +20,8 @@
 
 /// Maximum drift of a worker's clock: a lease may last this much longer than requested.
 const CLOCK_SLACK_PERCENT: u64 = 2;
-/// Allowance for timer ticks and calls in transit: two ticks of 20 ms at an agent whose CPU quota
-/// is exhausted for the rest of a 100 ms period.
+/// Allowance for timer ticks and calls in transit, in milliseconds: two ticks of an agent and the
+/// rest of its CPU quota period.
 const SCHEDULING_SLACK_MS: u64 = 120;
 /// Heartbeats per liveness timeout, so that three consecutive ones may be late.
 const HEARTBEATS_PER_TIMEOUT: u64 = 4;
