--- a/src/adapters/link/frame_link.rs
+++ b/src/adapters/link/frame_link.rs
@@ -19,13 +19,11 @@
 };
 
 const LINK_PATH: &str = "/link";
-/// Shorter than the kernel's SYN retransmission timeout of 1 s: after a power loss, an agent that is up
-/// before the entry's host retries sooner than the kernel would. The kernel of a running host accepts
-/// connections within a round trip of 2 to 6 ms, however busy its processes are.
+/// Connect timeout, in milliseconds; shorter than the second after which TCP resends a lost SYN.
 const CONNECT_TIMEOUT_MS: u64 = 100;
-/// Time to connect and open a session; a starting entry accepts about 70 sessions at once.
+/// Time to connect and open a session, in milliseconds.
 const OPEN_TIMEOUT_MS: u64 = 500;
-/// Flow-control window; holds a burst of starts with specs of 4 KB each.
+/// Flow-control window of a stream and of its connection.
 const WINDOW_BYTES: u32 = 1 << 20;
 const MAX_BUFFERED_FRAMES: usize = 256;
 const ACCEPT_RETRY_INTERVAL_MS: u64 = 20;
--- a/src/adapters/logging/decision_writer.rs
+++ b/src/adapters/logging/decision_writer.rs
@@ -15,7 +15,7 @@
     },
 };
 
-/// Lines queued for a slow reader of standard output; about 300 KB.
+/// Maximum number of lines queued for a slow reader of standard output.
 const MAX_QUEUED_LINES: usize = 1_024;
 
 /// Queues lines for a thread that writes them.
--- a/src/adapters/logging/line_budget.rs
+++ b/src/adapters/logging/line_budget.rs
@@ -2,7 +2,7 @@
 
 use {crate::ports::LogPriority, std::collections::BTreeMap};
 
-/// Above the 40 KB/s of job lines that an entry writes at 100 jobs per second.
+/// Sustained rate of log lines.
 const BYTES_PER_S: u64 = 96 * 1_024;
 const BURST_BYTES: u64 = 256 * 1_024;
 /// Part of the burst that is reserved for notable lines.
--- a/src/adapters/peer/codec.rs
+++ b/src/adapters/peer/codec.rs
@@ -6,7 +6,7 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Largest accepted message; a job of 200 tasks with large inputs fits.
+/// Maximum size of an accepted message.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 quick_error! {
--- a/src/adapters/peer/h2_client.rs
+++ b/src/adapters/peer/h2_client.rs
@@ -30,8 +30,8 @@
 
 pub(crate) const CALL_PATH: &str = "/call";
 pub(crate) const SESSION_PATH: &str = "/session";
-/// Flow-control window of a stream. The receiver sends a window update after each half of it, which
-/// must take less than the pong timeout on a slow link.
+/// Flow-control window of a stream; half of it, after which the receiver sends a window update, must
+/// take less than the pong timeout on a slow link.
 pub(crate) const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 /// Flow-control window of a connection.
 pub(crate) const CONNECTION_WINDOW_BYTES: u32 = 64 << 20;
--- a/src/adapters/peer/tests.rs
+++ b/src/adapters/peer/tests.rs
@@ -34,7 +34,7 @@
     },
 };
 
-/// Long enough for a loaded machine.
+/// Timeout of an awaited event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn task(index: u16) -> TaskRef {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Takes two seconds at 25 Mbit/s, which is longer than the pong timeout.
+/// Size of a message that takes longer than the pong timeout on the slow link.
 const LARGE_BYTES: usize = 6 << 20;
 
 /// A peer that replies with a large document and accepts sessions.
--- a/src/cli/commands/explain.rs
+++ b/src/cli/commands/explain.rs
@@ -9,7 +9,7 @@
     },
 };
 
-/// Shortest gap between two lines that is shown; most steps of a request take less.
+/// Shortest gap between two lines that is shown, in milliseconds.
 const MIN_SHOWN_GAP_MS: u64 = 500;
 /// Fields that are not repeated after the first columns.
 const COLUMN_FIELDS: [&str; 4] = ["at_unix_ms", "process", "event", "job"];
--- a/src/cli/mains.rs
+++ b/src/cli/mains.rs
@@ -24,7 +24,7 @@
     tokio::runtime::Builder,
 };
 
-/// Runtime threads of a process; few, because it shares its host with other processes.
+/// Runtime threads of a process, which shares its host with other processes.
 const RUNTIME_THREADS: usize = 2;
 
 fn block_on(work: impl Future<Output = Result<(), RunError>>) -> Result<(), RunError> {
--- a/src/core/home/tests/memory.rs
+++ b/src/core/home/tests/memory.rs
@@ -9,7 +9,7 @@
     },
 };
 
-/// Ten minutes at 100 jobs per second.
+/// Number of ended jobs; their answers exceed the byte limit.
 const JOBS: u32 = 60_000;
 const TASKS: usize = 5;
 const OUTPUT_BYTES: usize = 200;
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -23,9 +23,9 @@
 const TICKET_RETRY_AFTER_MS: u64 = 500;
 /// Retry delay sent to clients while the claim queue is full, in milliseconds.
 const BUDGET_RETRY_AFTER_MS: u64 = 1_000;
-/// Claim writes per second of one entry; the store's limit for all callers is several hundred.
+/// Claim writes per second of one entry; all entries together must stay below the store's limit.
 const WRITES_PER_S: u32 = 50;
-/// Longest claim queue: about one second of full write batches.
+/// Maximum number of queued claims.
 const MAX_QUEUED_CLAIMS: usize = 2_048;
 /// Reads beyond this number are refused.
 const MAX_CONCURRENT_READS: usize = 256;
--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -22,10 +22,8 @@
 
 /// Header with the id of the worker incarnation that a call is intended for.
 const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("rattanslip-expected-instance");
-/// Timeout of a start or stop call, in milliseconds.
-///
-/// The worker responds within a few milliseconds, but a host that has used up its CPU quota is suspended for up to
-/// 100 ms.
+/// Timeout of a start or stop call, in milliseconds; longer than the 100 ms for which a host that has
+/// used up its CPU quota is suspended.
 const RUN_CALL_TIMEOUT_MS: u64 = 160;
 /// Timeout of a hold call beyond the requested wait, in milliseconds.
 const HOLD_TIMEOUT_MARGIN_MS: u64 = 160;
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -32,7 +32,7 @@
 const WORKERS_TABLE: &str = "rattanslip_workers";
 /// Key of an agent's row in [`WORKERS_TABLE`].
 const WORKER_KEY: &str = "worker";
-/// Time for a response to start, in milliseconds; a slow store takes up to 200 ms.
+/// Time for a response to start, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// Maximum gap while a response body is read, in milliseconds.
 const BODY_IDLE_TIMEOUT_MS: u64 = 1_000;
--- a/src/site_agent/dialler.rs
+++ b/src/site_agent/dialler.rs
@@ -31,10 +31,8 @@
 /// Backoff after failed calls to the store, in milliseconds.
 const INITIAL_STORE_BACKOFF_MS: u64 = 100;
 const MAX_STORE_BACKOFF_MS: u64 = 1_000;
-/// Range of the random delay between a change of the list and reading it, in milliseconds.
-///
-/// Entries that start together make many changes. With a read for each of them, a thousand agents
-/// would overload the store; the delay lets one read cover several changes and spreads the reads.
+/// Range of the random delay between a change of the list and reading it, in milliseconds; spreads
+/// the agents' reads and lets one read cover several changes.
 const REREAD_DELAY_RANGE_MS: (u64, u64) = (200, 800);
 /// Backoff after a failed connection to an entry, in milliseconds.
 const INITIAL_DIAL_BACKOFF_MS: u64 = 50;
--- a/src/site_entry/operator_rows_watcher.rs
+++ b/src/site_entry/operator_rows_watcher.rs
@@ -24,10 +24,8 @@
     tokio::sync::mpsc,
 };
 
-/// Long-poll timeout of the change feed, in milliseconds.
-///
-/// An unresponsive connection is detected half a second later, so that a change still applies
-/// within two seconds.
+/// Long-poll timeout of the change feed, in milliseconds; an unresponsive connection must be detected
+/// early enough that a change applies within two seconds.
 const LONG_POLL_MS: u64 = 1_000;
 /// Number of responses by which the feed cursor lags; the store's history must reach as far back.
 const FEED_LAG_RESPONSES: usize = 5;
--- a/src/site_entry/run.rs
+++ b/src/site_entry/run.rs
@@ -37,8 +37,8 @@
     },
 };
 
-/// Time for the load balancer to route new connections to other entries, in milliseconds: two
-/// probes, a second apart, and one second of slack.
+/// Time for the load balancer to route new connections to other entries, in milliseconds; longer than
+/// two of its probes, which are a second apart.
 const BALANCER_DRAIN_MS: u64 = 3_000;
 /// Margin between the process's own exit and the end of the stop grace period, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 400;
--- a/src/site_entry/store_health.rs
+++ b/src/site_entry/store_health.rs
@@ -10,8 +10,6 @@
 };
 
 /// Backoff after failed calls, in milliseconds.
-///
-/// At the maximum, eight entries make some 20 calls a second, far below the store's capacity.
 const INITIAL_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 400;
 
