--- a/src/load/schedule.rs
+++ b/src/load/schedule.rs
@@ -133,12 +133,13 @@
     }
 }
 
-/// Mean run time of a job over all its tasks, in seconds.
+/// Mean total run time of a job's tasks, in seconds.
 fn mean_job_s(shape: Shape) -> f64 {
     let (shortest, longest) = ORDINARY_RUN_MS;
     let ordinary_ms = (longest - shortest) / (longest / shortest).ln();
     let long_ms = f64::midpoint(LONG_RUN_MS.0, LONG_RUN_MS.1);
     let task_ms = ordinary_ms * (1.0 - LONG_SHARE) + long_ms * LONG_SHARE;
+    // Mean of `mixed_task_count`.
     let mixed_tasks = 0.75 + 0.2 * 4.0 + 0.05 * 13.5;
     match shape {
         Shape::Mixed => mixed_tasks * task_ms / 1_000.0,
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for external systems with fault injection; for tests and demonstrations only.
+//! Stand-ins for external systems with fault injection, and tools for measurements; for tests and
+//! demonstrations only.
 
 mod agents;
 mod backend;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! HTTP stand-in for the platform's table and object store, with fault injection.
+//! HTTP stand-in for the platform's table and object store in standalone deployments, with fault
+//! injection.
 
 use {
     super::platform_store::PlatformStore,
--- a/src/standin/platform_store.rs
+++ b/src/standin/platform_store.rs
@@ -1,4 +1,4 @@
-//! In-memory table and object store of the platform stand-in.
+//! In-memory table and object store of the platform stand-in for standalone deployments.
 
 use {
     crate::ports::{Row, Transaction, TransactionOutcome},
--- a/src/standin/rows_model.rs
+++ b/src/standin/rows_model.rs
@@ -1,4 +1,4 @@
-//! In-memory model of the platform's table store.
+//! In-memory model of the platform's table store in site deployments.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/standin/site_store.rs
+++ b/src/standin/site_store.rs
@@ -1,4 +1,4 @@
-//! HTTP stand-in for the platform's table store, with fault injection.
+//! HTTP stand-in for the platform's table store in site deployments, with fault injection.
 
 use {
     super::rows_model::{ApplyOutcome, FeedPage, RowName, RowsModel, StoredRow},
@@ -223,7 +223,8 @@
         }
     }
 
-    /// Applies delay faults; returns `Some` if a fault rejects the request.
+    /// Delays the request or leaves it pending, as the faults require; returns `Some` if a fault
+    /// rejects it.
     async fn apply_faults(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let faults = self.faults().clone();
         sleep(Duration::from_millis(faults.slow_ms)).await;
--- a/src/standin/site_worker.rs
+++ b/src/standin/site_worker.rs
@@ -1,4 +1,4 @@
-//! HTTP stand-in for a worker of the platform, with fault injection.
+//! HTTP stand-in for a worker in site deployments, with fault injection.
 //!
 //! A task's spec is its run time in milliseconds, optionally followed by `fail`. The start and end
 //! of each run are printed as JSON lines with timestamps of the host's boot clock, which are
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,5 @@
-//! Checks that files, tests, settings, metrics, reasons and options named in the pages exist.
+//! Checks that files, tests, settings, metrics, reasons and options named in the documentation
+//! exist, and that links between its pages resolve.
 
 #![allow(
     clippy::expect_used,
--- a/tests/processes/exactly_once.rs
+++ b/tests/processes/exactly_once.rs
@@ -374,8 +374,8 @@
     );
 }
 
-/// The queue exceeds the deadline, so some jobs are rejected as overloaded before their
-/// cancellation; that verdict is final as well.
+/// Not all queued jobs could start before their deadline, so some are rejected as overloaded before
+/// their cancellation; that verdict is final as well.
 #[tokio::test]
 async fn a_thousand_cancellations_stop_all_queued_tasks() {
     let deployment = Deployment::start(Layout::default()).await;
--- a/tests/processes/operators.rs
+++ b/tests/processes/operators.rs
@@ -299,9 +299,11 @@
         .await;
     let applying = shell.start(TOKEN, &["apply", &edited]);
     // The response to the object's write is lost first, then the one to the transaction.
-    eventually("the head has moved", Duration::from_secs(30), || async {
-        head_row(&deployment).await != before
-    })
+    eventually(
+        "the head row has changed",
+        Duration::from_secs(30),
+        || async { head_row(&deployment).await != before },
+    )
     .await;
     deployment.set_platform_faults(r#"{"down": true}"#).await;
     let output = applying.wait_with_output().expect("output");
--- a/tests/processes/policy.rs
+++ b/tests/processes/policy.rs
@@ -5,7 +5,7 @@
     serde_json::Value,
 };
 
-/// The job would wait for a worker that never joins.
+/// An accepted job would wait for a worker that never joins.
 #[tokio::test]
 async fn a_task_that_fits_no_worker_is_rejected_immediately() {
     let deployment = Deployment::start(Layout::default()).await;
--- a/tests/processes/site.rs
+++ b/tests/processes/site.rs
@@ -1,4 +1,5 @@
-//! A site with the platform's store: clients, entries, agents and workers.
+//! Site deployments (`deployment = "site"`): clients, entries, agents, workers and the platform's
+//! store.
 
 use {
     crate::support::{Site, eventually, get, request, site_config, site_job, submit_to},
--- a/tests/processes/support/deployment.rs
+++ b/tests/processes/support/deployment.rs
@@ -1,4 +1,5 @@
-//! A deployment of real processes on loopback.
+//! A standalone deployment on loopback: entries, agents, and stand-ins for the platform and the
+//! backend servers.
 
 use {
     super::{Process, Reply, eventually, free_addr, get, request},
--- a/tests/processes/support/port.rs
+++ b/tests/processes/support/port.rs
@@ -8,9 +8,9 @@
     },
 };
 
-/// Lowest port of all slots; below the ephemeral range (32768 and up).
+/// First port of the first slot. All slots lie below the ephemeral range (32768 and up).
 const FIRST_PORT: u16 = 10_000;
-/// Ports of one test program. It holds a listener on the first one to reserve the others.
+/// Ports of one slot. A test program reserves a slot by listening on its first port.
 const PORTS_PER_SLOT: u16 = 400;
 /// Maximum number of concurrent test programs.
 const SLOT_COUNT: u16 = 25;
--- a/tests/processes/support/process.rs
+++ b/tests/processes/support/process.rs
@@ -73,7 +73,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Fails if the process has already exited.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/processes/support/proxy.rs
+++ b/tests/processes/support/proxy.rs
@@ -18,7 +18,7 @@
     },
 };
 
-/// Forwards TCP connections. A fault affects the connections that are open at that time.
+/// Forwards TCP connections until a fault is injected.
 #[derive(Debug)]
 pub struct Proxy {
     pub addr: SocketAddr,
@@ -65,7 +65,7 @@
         self.blackhole_open_connections();
     }
 
-    /// Accepts new connections again.
+    /// Accepts new connections again; blackholed ones stay so.
     pub fn heal(&self) {
         self.reject_new.send_replace(false);
     }
--- a/tests/processes/support/site.rs
+++ b/tests/processes/support/site.rs
@@ -1,4 +1,5 @@
-//! A site of real processes on loopback: stand-ins of store and workers, entries and agents.
+//! A site deployment (`deployment = "site"`) on loopback: entries, agents, and stand-ins for the
+//! platform's store and the workers.
 
 use {
     super::{Process, Reply, eventually, free_addr, request, try_request},
@@ -40,7 +41,7 @@
     settings: PathBuf,
 }
 
-/// A running site.
+/// A running site; its processes are killed on drop.
 #[derive(Debug)]
 pub struct Site {
     pub store: SocketAddr,
