--- a/tests/processes/exactly_once.rs
+++ b/tests/processes/exactly_once.rs
@@ -339,9 +339,9 @@
     let again = deployment.submit(0, &ticket, &body).await;
     assert_eq!(again.body, first.body);
     let fresh = deployment.ticket(0).await;
-    let refused = deployment.submit(0, &fresh, &body).await;
+    let rejected = deployment.submit(0, &fresh, &body).await;
     assert_eq!(
-        (refused.verdict(), refused.reason()),
+        (rejected.verdict(), rejected.reason()),
         ("not-run", "unknown_service")
     );
 }
--- a/tests/processes/gate.rs
+++ b/tests/processes/gate.rs
@@ -19,7 +19,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Evacuates the zone; returns the time at which the entry had accepted the change.
-async fn take_zone_out(deployment: &Deployment, entry: usize) -> u64 {
+async fn evacuate_zone(deployment: &Deployment, entry: usize) -> u64 {
     let path = format!("/v1/zones/{ZONE}/out");
     let reply = deployment.operator_request(entry, "POST", &path, "").await;
     assert_eq!(reply.status, 200, "{}", reply.body);
@@ -72,7 +72,7 @@
 async fn an_evacuated_zone_starts_nothing_until_it_is_reopened() {
     let deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[0, 1]).await;
-    let accepted_ms = take_zone_out(&deployment, 0).await;
+    let accepted_ms = evacuate_zone(&deployment, 0).await;
     assert_no_late_starts(&deployment, accepted_ms, "no fault").await;
     assert_other_zones_run(&deployment).await;
     let path = format!("/v1/zones/{ZONE}/in");
@@ -98,7 +98,7 @@
     proxies[0].partition();
     sleep(Duration::from_millis(3_000)).await;
     assert_other_zones_run(&deployment).await;
-    let accepted_ms = take_zone_out(&deployment, 1).await;
+    let accepted_ms = evacuate_zone(&deployment, 1).await;
     assert_no_late_starts(
         &deployment,
         accepted_ms,
@@ -124,7 +124,7 @@
     for proxy in &proxies {
         proxy.partition();
     }
-    let accepted_ms = take_zone_out(&deployment, 0).await;
+    let accepted_ms = evacuate_zone(&deployment, 0).await;
     assert_no_late_starts(
         &deployment,
         accepted_ms,
@@ -145,7 +145,7 @@
 async fn a_platform_outage_after_the_write_does_not_reopen_the_zone() {
     let deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[0, 1]).await;
-    let accepted_ms = take_zone_out(&deployment, 0).await;
+    let accepted_ms = evacuate_zone(&deployment, 0).await;
     deployment.set_platform_faults(r#"{"down": true}"#).await;
     assert_no_late_starts(
         &deployment,
@@ -163,7 +163,7 @@
     let deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[0, 1]).await;
     deployment.workers[WORKER].agent.pause();
-    let accepted_ms = take_zone_out(&deployment, 0).await;
+    let accepted_ms = evacuate_zone(&deployment, 0).await;
     sleep(Duration::from_millis(5_000)).await;
     deployment.workers[WORKER].agent.resume();
     assert_no_late_starts(&deployment, accepted_ms, "a paused agent").await;
@@ -178,7 +178,7 @@
     let deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[1]).await;
     deployment.entries[0].pause();
-    let accepted_ms = take_zone_out(&deployment, 1).await;
+    let accepted_ms = evacuate_zone(&deployment, 1).await;
     sleep(Duration::from_millis(5_000)).await;
     assert_other_zones_run(&deployment).await;
     deployment.entries[0].resume();
@@ -194,7 +194,7 @@
 async fn the_zone_closes_when_the_accepting_entry_is_killed() {
     let mut deployment = Deployment::start(Layout::default()).await;
     let load = start_load(&deployment, &[1]).await;
-    let accepted_ms = take_zone_out(&deployment, 0).await;
+    let accepted_ms = evacuate_zone(&deployment, 0).await;
     deployment.entries[0].kill();
     assert_no_late_starts(&deployment, accepted_ms, "an entry killed after accepting").await;
     assert_other_zones_run(&deployment).await;
@@ -211,7 +211,7 @@
         .set_platform_faults(r#"{"lose_write_replies": 2}"#)
         .await;
     let entry = deployment.entry_addrs[0];
-    let change = tokio::spawn(async move { super::support::zone_out(entry, ZONE).await });
+    let change = tokio::spawn(async move { super::support::try_evacuate_zone(entry, ZONE).await });
     eventually("the change has taken effect", WAIT_TIMEOUT, || async {
         deployment
             .has_platform_row("config-history-000000000002")
--- a/tests/processes/operators.rs
+++ b/tests/processes/operators.rs
@@ -92,7 +92,7 @@
 }
 
 /// A declared worker that has not arrived yet.
-const ORDERED_WORKER: &str = "[capacity.workers.w12]\navailability_zone = \"keflavik\"\nrack = \"r4\"\n\
+const DECLARED_WORKER: &str = "[capacity.workers.w12]\navailability_zone = \"keflavik\"\nrack = \"r4\"\n\
                        slots = 8\nmemory_mb = 131072\narrived = false\n";
 
 #[tokio::test]
@@ -109,7 +109,7 @@
         shell.expect(0, TOKEN, &["apply", &unchanged]),
         "unchanged: version 1\n"
     );
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{DECLARED_WORKER}"));
     assert!(
         shell
             .expect(0, TOKEN, &["check", &edited])
@@ -125,11 +125,11 @@
         format!("accepted as version 2\n{changes}")
     );
     let listed = shell.expect(0, TOKEN, &["workers"]);
-    let ordered = listed
+    let declared = listed
         .lines()
         .find(|line| line.starts_with("w12"))
         .expect("declared");
-    assert!(ordered.ends_with("(declared, not arrived)"), "{listed}");
+    assert!(declared.ends_with("(declared, not arrived)"), "{listed}");
     assert!(
         listed.lines().any(|line| line.starts_with("w01")),
         "{listed}"
@@ -260,7 +260,7 @@
     assert_eq!(json["faults"][0]["section"], "capacity");
     assert!(json["faults"][0]["line"].as_u64() > Some(1));
     shell.expect(2, TOKEN, &["apply", "/no/such/file.toml"]);
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{DECLARED_WORKER}"));
     shell.expect(4, NIGHT_SHIFT, &["apply", &edited]);
     shell.expect(4, "nobody", &["diff", &edited]);
     deployment.set_platform_faults(r#"{"down": true}"#).await;
@@ -292,7 +292,7 @@
     let deployment = deployment().await;
     let shell = Shell::of(&deployment, "unknown");
     let shown = shell.expect(0, TOKEN, &["show"]);
-    let edited = shell.file("edited.toml", &format!("{shown}{ORDERED_WORKER}"));
+    let edited = shell.file("edited.toml", &format!("{shown}{DECLARED_WORKER}"));
     let before = head_row(&deployment).await;
     deployment
         .set_platform_faults(r#"{"lose_write_replies": 2}"#)
--- a/tests/processes/support/load.rs
+++ b/tests/processes/support/load.rs
@@ -29,7 +29,7 @@
 }
 
 /// Evacuates a zone; returns an error if the response is incomplete.
-pub async fn zone_out(entry: SocketAddr, zone: &str) -> Result<Reply, String> {
+pub async fn try_evacuate_zone(entry: SocketAddr, zone: &str) -> Result<Reply, String> {
     let authorization = format!("Bearer {TOKEN}");
     let headers = [("authorization", authorization.as_str())];
     try_request(
--- a/tests/processes/support/mod.rs
+++ b/tests/processes/support/mod.rs
@@ -17,7 +17,7 @@
 pub use {
     deployment::{Deployment, Layout, SERVICE, TOKEN, WorkerHandle, job_body},
     http::{Reply, get, request, try_request},
-    load::{Load, unix_ms, zone_out},
+    load::{Load, try_evacuate_zone, unix_ms},
     port::free_addr,
     process::Process,
     proxy::Proxy,
