--- a/tests/processes/support/proxy.rs
+++ b/tests/processes/support/proxy.rs
@@ -65,7 +65,7 @@
         self.blackhole_open_connections();
     }
 
-    /// Accepts new connections again; blackholed ones stay so.
+    /// Accepts new connections again; connections that were open stay blackholed.
     pub fn heal(&self) {
         self.reject_new.send_replace(false);
     }
