--- a/src/cli/commands/explain.rs
+++ b/src/cli/commands/explain.rs
@@ -11,7 +11,7 @@
 
 /// Shortest gap between two lines that is shown; most steps of a request take less.
 const MIN_SHOWN_GAP_MS: u64 = 500;
-/// Fields that are not repeated after the first columns.
+/// Fields that are not printed after the first columns: they are shown there, or the request implies them.
 const COLUMN_FIELDS: [&str; 4] = ["at_unix_ms", "process", "event", "job"];
 /// Events that determine the outcome of a request.
 const DECISIVE_EVENTS: [&str; 6] = [
--- a/src/conf/document_reader.rs
+++ b/src/conf/document_reader.rs
@@ -162,7 +162,7 @@
     }
 }
 
-/// Rejects a change that closes the last open availability zone, which would stop all work.
+/// Rejects a change that closes the last open availability zone: no task could start any more.
 fn check_last_zone(root: &TableReader<'_>, document: &Document, open_now: &BTreeSet<String>) {
     if open_now.is_empty() || document.open_zones().next().is_some() {
         return;
--- a/src/conf/section_texts.rs
+++ b/src/conf/section_texts.rs
@@ -135,7 +135,8 @@
     }
 }
 
-/// Start of the comments above a header; blank lines before them belong to the previous chunk.
+/// Start of a header's indentation and of the comments above it; blank lines before them belong to the
+/// previous chunk.
 fn leading_comments_start(text: &str, header: usize) -> usize {
     let mut position = header;
     let mut start = header;
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration document and its sections.
+//! The configuration document of a standalone deployment and its sections.
 
 mod change;
 mod difference;
--- a/src/core/document/mod.rs
+++ b/src/core/document/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' document, and its transfer between processes.
+//! The operators' document of a site, and its transfer between processes.
 //!
 //! A process with an older revision requests the document in small parts, one at a time, so that a large
 //! document doesn't delay heartbeats on a slow link, and a transfer can resume after a disconnect.
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -80,7 +80,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Submits queued claims at the allowed rate until the process ends.
+    /// Writes queued claims at the allowed rate until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = self.timer.subscribe(QUEUE_POLL_INTERVAL_MS);
         while ticks.recv().await.is_some() {
@@ -128,8 +128,8 @@
 
     /// Reads an earlier binding from the table.
     ///
-    /// If the table can't be read, the key may already be bound and its job may have run, so the
-    /// verdict is "may have run".
+    /// If the read fails or is refused, the key may already be bound and its job may have run, so
+    /// the verdict is "may have run".
     async fn find_binding(&self, row: &str) -> Result<Option<Ticket>, Verdict> {
         let unknown = Verdict::MayHaveRun {
             reason: MayHaveRunReason::StoreUnavailable,
@@ -207,7 +207,7 @@
         Ok(row.and_then(|row| row.value.parse().ok()))
     }
 
-    /// Caches a binding; bindings never change, so entries are never invalidated.
+    /// Caches a binding; bindings never change, so the cache is only limited in size.
     fn cache_binding(&self, row: String, ticket: Ticket) {
         let mut inner = self.lock();
         if inner.cache.insert(row.clone(), ticket).is_none() {
--- a/src/entry/digest_exchange.rs
+++ b/src/entry/digest_exchange.rs
@@ -92,7 +92,8 @@
     /// Fetches a newer configuration from another entry.
     ///
     /// During an outage of the platform, an entry grants no permits while it knows of a newer
-    /// version elsewhere. A change right before the outage may have reached only some entries.
+    /// version elsewhere. Without this fetch, a change right before the outage that has reached
+    /// only some entries would prevent permits for the whole outage.
     pub(super) async fn fetch_configuration(&self, from: SocketAddr) {
         let fetched = self.call_within(FETCH_TIMEOUT_MS, from, PeerRequest::Configuration);
         if let Some(PeerReply::Configuration(Some((head, text)))) = fetched.await {
@@ -121,9 +122,10 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notifies agents that a configuration change opens or closes.
+    /// Notifies agents whose worker a configuration change opens or closes.
     ///
-    /// Without a notice, an agent's permit expires only after seconds.
+    /// Without a notice, an agent of a closed worker may start tasks until its permit expires,
+    /// seconds later.
     pub(crate) async fn send_gate_notices(self: Arc<Self>) {
         let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_NOTICES));
         let mut previous: Option<InForce> = None;
--- a/src/entry/entry_state.rs
+++ b/src/entry/entry_state.rs
@@ -268,7 +268,7 @@
             .ok_or(NotRunReason::UnknownService)
     }
 
-    /// Returns whether each task fits on some worker of the configuration in force.
+    /// Returns whether each task fits on some worker of the configuration in force; true without one.
     pub(crate) fn fits_somewhere(&self, spec: &JobSpec) -> bool {
         let inner = self.lock();
         let in_force = inner.in_force.as_ref();
@@ -310,7 +310,7 @@
         Some(RunnerRing::new(active_homes(homes), runners))
     }
 
-    /// Returns the listed agents with the time since their last announcement, in milliseconds.
+    /// Returns the known agents with the time since their last announcement, in milliseconds.
     pub(crate) fn agents(&self) -> Vec<(Announcement, u64)> {
         let now = self.timer.now();
         self.lock()
@@ -347,7 +347,8 @@
         directory.alive(now).count()
     }
 
-    /// Returns whether the entry has a configuration and tickets of some home to serve clients.
+    /// Returns whether the entry can serve clients: it has a configuration and usable tickets of
+    /// some home.
     pub(crate) fn is_ready(&self) -> bool {
         let now = self.timer.now();
         let inner = self.lock();
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Cancels a job and returns its final state.
+    /// Cancels a job and returns its state; retries until the home counts as unreachable.
     pub(crate) async fn cancel(&self, ticket: Ticket) -> JobReport {
         let started_at = self.timer.now();
         loop {
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -28,7 +28,7 @@
 
 /// A configuration change in flight; if dropped unmarked, its outcome counts as unknown.
 ///
-/// The handler is dropped when its caller disconnects, but the write may still take effect.
+/// A request's future is dropped when its client disconnects, but the write may still take effect.
 #[derive(Debug)]
 pub(crate) struct ChangeInFlight {
     state: Arc<EntryState>,
@@ -249,8 +249,8 @@
         Some((change, check))
     }
 
-    /// Returns the notices, after a change from `before`, for agents that announce themselves to this
-    /// entry.
+    /// Returns the notices for agents that announce themselves to this entry and whose worker the
+    /// change from `before` opens or closes.
     pub(crate) fn gate_notices(&self, before: Option<&InForce>) -> Vec<(SocketAddr, GateNotice)> {
         let now = self.timer.now();
         let inner = self.lock();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -200,7 +200,7 @@
     let api = shared.api(&settings);
     log::info!(name = settings.name.as_str(), client_listen:% = settings.client_listen; "entry started");
     serve_entry_api(settings.client_listen, api, stop_signal()).await?;
-    // A heartbeat in flight must not recreate the rows.
+    // Stopped before the rows are removed, so that it doesn't register again.
     roster.abort();
     let store = shared.platform.store(Urgency::Urgent);
     deregister(&shared.state, store.as_ref()).await;
--- a/src/entry/tests/config/concurrent_changes.rs
+++ b/src/entry/tests/config/concurrent_changes.rs
@@ -248,7 +248,7 @@
                 Ok(())
             },
         )
-        .expect("every answer is true");
+        .expect("every reported result matches the history");
     for kind in [
         "accepted",
         "conflict",
--- a/src/platform/http_worker_client.rs
+++ b/src/platform/http_worker_client.rs
@@ -189,7 +189,7 @@
     }
 }
 
-/// The second part is the number of the job's recurrence; zero for a job that runs once.
+/// The name's second part is the number of the job's recurrence; zero for a job that runs once.
 fn task_name(task: TaskId) -> String {
     format!("{}.0.{}.{}", task.job, task.step, task.index)
 }
@@ -255,7 +255,7 @@
     })
 }
 
-/// Parses a row of sequence number, task, run and outcome.
+/// Parses a row of sequence number, task, run and outcome; an unknown outcome counts as lost.
 fn parse_listed_end(row: &[serde_json::Value]) -> Option<ListedEnd> {
     let end = match row.get(3)?.as_str()? {
         "done" => RunOutcome::Done,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Adapter for the users' platform: translates its names, formats and calls to the project's types.
+//! Adapter for the platform of a site: translates its names, formats and calls to the project's types.
+//! The store of a standalone deployment is in `adapters::platform`.
 //!
 //! This module contains no decision logic, and no other module depends on the platform's names.
 
--- a/src/platform/rows_store.rs
+++ b/src/platform/rows_store.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Waits for rows of a table that changed after a version; `None` if the store no longer has these changes.
+    /// Waits for rows of a table that changed after a version; `None` if the response lacks some of these changes,
+    /// because the store has discarded or truncated them.
     async fn wait_for_changes(
         &self,
         table: &str,
@@ -193,7 +194,8 @@
 }
 
 impl OperatorRowsPage {
-    /// Parses rows in order; a later row replaces an earlier one of the same key.
+    /// Parses rows in order; a later row replaces an earlier one of the same key. A deletion of the configuration is
+    /// ignored, so the last one stays in force.
     fn parse(rows: &[RowBody]) -> Result<Self, PlatformError> {
         let mut page = Self::default();
         for row in rows {
@@ -313,7 +315,7 @@
             remove: vec![row],
             ..TransactionBody::default()
         };
-        // A row of another version belongs to a newer process.
+        // A row of another version belongs to a newer process with this address, and stays.
         self.transact(&body).await?;
         Ok(())
     }
