--- a/src/cli/args/mod.rs
+++ b/src/cli/args/mod.rs
@@ -2,13 +2,13 @@
 
 mod load_args;
 mod operator_args;
-mod service_args;
+mod program_args;
 mod standin_args;
 
 pub(crate) use {
     load_args::{LoadArgs, Shape, ZonedBackend},
     operator_args::{CheckKind, DocumentArgs, OperatorArgs, OperatorCommand, ZoneCommand},
-    service_args::{AgentArgs, EntryArgs},
+    program_args::{AgentArgs, EntryArgs},
     standin_args::{
         AgentsArgs, BackendArgs, JobsArgs, PlatformArgs, SiteWorkerArgs, StandinArgs,
         StandinCommand,
