--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -44,7 +44,51 @@
     pages
 }
 
-fn code() -> String {
+/// A file that is searched for the names.
+struct CodeFile {
+    /// Path below the root of the repository.
+    path: PathBuf,
+    text: String,
+}
+
+impl CodeFile {
+    fn read(file: &Path) -> Self {
+        let path = file.strip_prefix(repository_root()).expect("file of code");
+        Self {
+            path: path.to_path_buf(),
+            text: fs::read_to_string(file).expect("text"),
+        }
+    }
+
+    /// Whether the file belongs to a module of this name or declares one.
+    fn has_module(&self, module: &str) -> bool {
+        self.path
+            .with_extension("")
+            .iter()
+            .any(|part| part == module)
+            || self.contains(&format!("mod {module}"))
+    }
+
+    /// Whether the file defines the function, also as a row `NAME: ...` of a macro's table.
+    fn has_function(&self, function: &str) -> bool {
+        let is_row = |line: &str| {
+            line.trim_start()
+                .strip_prefix(function)
+                .is_some_and(|rest| rest.starts_with(':') && !rest.starts_with("::"))
+        };
+        self.contains(&format!("fn {function}")) || self.text.lines().any(is_row)
+    }
+
+    /// Whether the text contains the words, not as a part of longer ones.
+    fn contains(&self, words: &str) -> bool {
+        self.text.match_indices(words).any(|(start, matched)| {
+            let (before, after) = (&self.text[..start], &self.text[start + matched.len()..]);
+            !before.ends_with(is_identifier_part) && !after.starts_with(is_identifier_part)
+        })
+    }
+}
+
+fn code_files() -> Vec<CodeFile> {
     let mut files: Vec<PathBuf> = CODE_FILES
         .iter()
         .map(|file| repository_root().join(file))
@@ -52,16 +96,16 @@
     for folder in CODE_FOLDERS {
         files.extend(files_below(&repository_root().join(folder)));
     }
-    let texts = files
-        .iter()
-        .map(|file| fs::read_to_string(file).expect("text"));
-    texts.collect::<Vec<_>>().join("\n")
+    files.iter().map(|file| CodeFile::read(file)).collect()
+}
+
+fn is_identifier_part(c: char) -> bool {
+    c.is_alphanumeric() || c == '_'
 }
 
 /// All identifiers in a text.
 fn identifiers(text: &str) -> BTreeSet<&str> {
-    text.split(|c: char| !c.is_alphanumeric() && c != '_')
-        .collect()
+    text.split(|c: char| !is_identifier_part(c)).collect()
 }
 
 /// Inline code of a page. Fenced blocks are skipped; `scripts/run-page` runs them.
@@ -85,6 +129,18 @@
             .all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'_')
 }
 
+/// Whether a name such as `WorkerId` has several parts that start with a capital.
+fn is_camel_case(name: &str) -> bool {
+    name.starts_with(|c: char| c.is_ascii_uppercase())
+        && name.bytes().all(|byte| byte.is_ascii_alphanumeric())
+        && name.bytes().any(|byte| byte.is_ascii_lowercase())
+        && name.bytes().filter(u8::is_ascii_uppercase).count() > 1
+}
+
+fn is_bare_source_file(name: &str) -> bool {
+    name.ends_with(".rs") && !name.contains(['/', ' '])
+}
+
 fn is_path(name: &str) -> bool {
     let folders = [
         "core/",
@@ -109,14 +165,30 @@
     repository_root().join(path).exists() || repository_root().join("src").join(path).exists()
 }
 
-/// Whether the function of `module::function` exists; the module is not checked.
-fn test_exists(name: &str, identifiers: &BTreeSet<&str>) -> bool {
-    let function = name.rsplit("::").next().expect("function");
-    identifiers.contains(function)
+/// Whether one file defines the last part of `module::name`, a function or a module, and has each
+/// module before it.
+fn test_exists(name: &str, files: &[CodeFile], identifiers: &BTreeSet<&str>) -> bool {
+    let (modules, last) = name.rsplit_once("::").expect("module");
+    identifiers.contains(last)
+        && files.iter().any(|file| {
+            (file.has_function(last) || file.has_module(last))
+                && modules.split("::").all(|module| file.has_module(module))
+        })
 }
 
 /// Returns what is wrong with a name on a page, if anything.
-fn fault(name: &str, code: &str, identifiers: &BTreeSet<&str>) -> Option<&'static str> {
+fn fault(
+    name: &str,
+    files: &[CodeFile],
+    code: &str,
+    identifiers: &BTreeSet<&str>,
+) -> Option<&'static str> {
+    if name
+        .split(|c: char| !is_identifier_part(c))
+        .any(|word| is_camel_case(word) && !identifiers.contains(word))
+    {
+        return Some("no such type");
+    }
     if let Some(flag) = name
         .split(' ')
         .next()
@@ -129,13 +201,17 @@
     if is_path(name) {
         return (!exists(name)).then_some("no such file");
     }
+    if is_bare_source_file(name) {
+        let known = files.iter().any(|file| file.path.ends_with(name));
+        return (!known).then_some("no such file");
+    }
     if name.contains("::")
         && name.split("::").all(|part| {
             part.bytes()
                 .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'_')
         })
     {
-        return (!test_exists(name, identifiers)).then_some("no such test");
+        return (!test_exists(name, files, identifiers)).then_some("no such test");
     }
     if let Some(metric) = name.strip_prefix("rattanslip_") {
         // The Prometheus exporter replaces dots by underscores and appends `_total` to counters.
@@ -156,13 +232,15 @@
 
 #[test]
 fn names_in_the_pages_exist() {
-    let code = code();
+    let files = code_files();
+    let texts: Vec<&str> = files.iter().map(|file| file.text.as_str()).collect();
+    let code = texts.join("\n");
     let identifiers = identifiers(&code);
     let mut faults = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("page");
         for name in inline_code(&text) {
-            if let Some(fault) = fault(name, &code, &identifiers) {
+            if let Some(fault) = fault(name, &files, &code, &identifiers) {
                 faults.push(format!("{}: `{name}`: {fault}", page.display()));
             }
         }
